--- a/internal/core/placement/demand.go
+++ b/internal/core/placement/demand.go
@@ -9,126 +9,127 @@
 	"github.com/cassiapass/cassiapass/internal/core/state"
 )
 
-// want gathers the demands for one target from all entries and customers.
-type want struct {
-	first   time.Time
-	by      map[source]asked
-	warmTil time.Time // wanted without a waiting request until then
+// targetDemand holds the demands for one target from all entries and customers.
+type targetDemand struct {
+	since       time.Time
+	byRequester map[requester]latestDemand
+	warmUntil   time.Time // in demand until then even if no request waits
 }
 
-// source is who asks.
-type source struct {
+// requester identifies the origin of a demand.
+type requester struct {
 	entry    ident.HostID
 	customer ident.Customer
 }
 
-// asked is the newest demand of one source.
-type asked struct {
-	at     time.Time
-	demand Demand
+// latestDemand is the newest demand of one requester.
+type latestDemand struct {
+	received time.Time
+	demand   Demand
 }
 
-// Demand takes in one demand. The same demand arrives again from its entry
-// until it is met, so a lost message or leader costs one interval.
+// Demand records a demand. An entry repeats a demand until it is met, so a lost
+// message or a change of leader delays it by one interval.
 func (p *Planner) Demand(now time.Time, st *state.State, d Demand) {
 	if _, ok := st.Stated(d.Target); !ok {
 		return
 	}
-	_, again := p.wants[d.Target]
-	w := p.want(now, d.Target)
-	w.by[source{d.Entry, d.Customer}] = asked{now, d}
-	// The requests may be refused because they cannot be met in time; those
-	// that come back after Retry-After should find the model loaded.
-	w.warmTil = maxTime(w.warmTil, now.Add(p.cfg.RetryAfter))
-	p.touch(now, d.Target)
+	_, known := p.demands[d.Target]
+	td := p.demandFor(now, d.Target)
+	td.byRequester[requester{d.Entry, d.Customer}] = latestDemand{now, d}
+	// The requests may be refused because the model cannot be ready in time;
+	// a retry after Retry-After should find the model loaded.
+	td.warmUntil = maxTime(td.warmUntil, now.Add(p.cfg.RetryAfter))
+	p.recordUse(now, d.Target)
 	if d.Target.IsAdapter() {
 		p.lastUse[d.Target.Base()] = maxTime(p.lastUse[d.Target.Base()], now)
 	}
-	if !again && p.cfg.Prewarm && p.cfg.Policy == PolicyHistory {
+	if !known && p.cfg.Prewarm && p.cfg.Policy == PolicyHistory {
 		p.prewarm(now, st, d.Target)
 	}
 }
 
-func (p *Planner) want(now time.Time, t ident.Target) *want {
-	w := p.wants[t]
-	if w == nil {
-		w = &want{first: now, by: map[source]asked{}}
-		p.wants[t] = w
+func (p *Planner) demandFor(now time.Time, t ident.Target) *targetDemand {
+	td := p.demands[t]
+	if td == nil {
+		td = &targetDemand{since: now, byRequester: map[requester]latestDemand{}}
+		p.demands[t] = td
 	}
-	return w
+	return td
 }
 
-const minWakes = 3 // wakes of a target before its companions are believed
+const minWakes = 3 // minimum recorded wakes of a target before its companions are prewarmed
 
-// prewarm wants the targets that usually wake together with t.
+// prewarm adds demand for the targets that usually wake together with t.
 func (p *Planner) prewarm(now time.Time, st *state.State, t ident.Target) {
 	stats := st.History().Stats(t)
 	for _, c := range stats.Companions(p.cfg.PrewarmShare, minWakes) {
-		said, ok := st.Stated(c)
-		if !ok || st.Count(c) > 0 || said.Weight < prewarmWeight {
+		stmt, ok := st.Stated(c)
+		if !ok || st.Count(c) > 0 || stmt.Weight < prewarmWeight {
 			continue
 		}
-		w := p.want(now, c)
-		w.warmTil = maxTime(w.warmTil, now.Add(wakeWindow))
+		td := p.demandFor(now, c)
+		td.warmUntil = maxTime(td.warmUntil, now.Add(wakeWindow))
 	}
 }
 
-// prewarmWeight is the least weight for tail cold-start time at which loading
-// ahead of a request is worth the idle accelerator time.
+// prewarmWeight is the minimum weight of tail cold-start time at which loading
+// ahead of a request justifies the idle accelerator time.
 const prewarmWeight = 0.5
 
-func (w *want) prune(now time.Time, cfg Config) {
-	for k, a := range w.by {
-		if now.Sub(a.at) > cfg.DemandTTL {
-			delete(w.by, k)
+func (td *targetDemand) prune(now time.Time, cfg Config) {
+	for k, a := range td.byRequester {
+		if now.Sub(a.received) > cfg.DemandTTL {
+			delete(td.byRequester, k)
 		}
 	}
 }
 
-func (w *want) empty(now time.Time) bool {
-	return len(w.by) == 0 && now.After(w.warmTil)
+func (td *targetDemand) empty(now time.Time) bool {
+	return len(td.byRequester) == 0 && now.After(td.warmUntil)
 }
 
-func (w *want) waiting() int {
+func (td *targetDemand) waiting() int {
 	n := 0
-	for _, a := range w.by {
+	for _, a := range td.byRequester {
 		n += a.demand.Waiting
 	}
 	return n
 }
 
-// urgency orders the load queue.
+// urgency is a class of the load queue; lower values are loaded first.
 type urgency int
 
-// The classes: people who wait go before batch work, both before prewarming.
+// The classes: interactive requests precede batch work, and both precede
+// prewarming.
 const (
 	urgent urgency = iota
-	late           // no waiting request can be met in time any more
+	late           // interactive, but the deadline can no longer be met
 	batch
 	warm
 )
 
-// item is one target that needs one more replica.
+// item is a target that needs one more replica.
 type item struct {
 	target ident.Target
-	said   state.Statement
+	stmt   state.Statement
 	class  urgency
 	key    time.Time // order within the class
-	// hopeful looks ahead: replicas that are loading or in use now count as
-	// evictable. Only estimates are made from that, never decisions.
-	hopeful bool
+	// assumeEvictable makes replicas that are loading or in use count as evictable.
+	// It serves estimates only, never decisions.
+	assumeEvictable bool
 }
 
-// queue returns the targets that need a replica, in the order of loading.
+// queue returns the targets that need a replica, in load order.
 func (p *Planner) queue(now time.Time, st *state.State) []item {
 	var items []item
-	least := p.leastServed()
-	for t, w := range p.wants {
-		said, ok := st.Stated(t)
-		if !ok || !p.needsMore(st, t, w) {
+	lowest := p.minServed()
+	for t, td := range p.demands {
+		stmt, ok := st.Stated(t)
+		if !ok || !p.needsReplica(st, t, td) {
 			continue
 		}
-		items = append(items, p.rank(now, t, said, w, least))
+		items = append(items, p.rank(now, t, stmt, td, lowest))
 	}
 	slices.SortFunc(items, func(a, b item) int {
 		return cmp.Or(cmp.Compare(a.class, b.class), a.key.Compare(b.key), cmp.Compare(a.target.String(), b.target.String()))
@@ -136,44 +137,46 @@
 	return items
 }
 
-// needsMore reports whether another replica of t is called for: one for any
-// demand, more when more requests wait than the present ones run at once.
-func (p *Planner) needsMore(st *state.State, t ident.Target, w *want) bool {
+// needsReplica reports whether t needs another replica: the first one for any
+// demand, further ones if more requests wait than the present replicas can run
+// concurrently.
+func (p *Planner) needsReplica(st *state.State, t ident.Target, td *targetDemand) bool {
 	n := st.Count(t)
 	if n >= st.Sold(t) {
 		return false
 	}
-	waiting := w.waiting()
+	waiting := td.waiting()
 	if waiting == 0 {
-		said, _ := st.Stated(t)
-		return n < max(1, said.Min)
+		stmt, _ := st.Stated(t)
+		return n < max(1, stmt.Min)
 	}
 	return n*defaultSlots < waiting
 }
 
-const defaultSlots = 8 // requests that one replica is counted on to run at once
+const defaultSlots = 8 // concurrent requests assumed per replica
 
-// rank gives the place of t in the queue.
-func (p *Planner) rank(now time.Time, t ident.Target, said state.Statement, w *want, least float64) item {
-	it := item{target: t, said: said, class: warm, key: w.first}
+// rank returns the queue item of t, with its class and its order within it.
+func (p *Planner) rank(now time.Time, t ident.Target, stmt state.Statement, td *targetDemand, lowest float64) item {
+	it := item{target: t, stmt: stmt, class: warm, key: td.since}
 	if p.cfg.Policy != PolicyHistory {
 		it.class = urgent
 		return it
 	}
-	soonest := p.loadTime(FromMemory, said.Bytes)
-	for _, a := range w.by {
+	minLoad := p.loadTime(FromMemory, stmt.Bytes)
+	for _, a := range td.byRequester {
 		d := a.demand
 		class := urgent
-		if now.Add(soonest).After(d.Deadline) {
+		if now.Add(minLoad).After(d.Deadline) {
 			class = late
 		}
 		if d.Batch {
 			class = batch
 		}
-		// A customer who got more load time than others per replica sold
-		// comes that much later, so that nobody's burst starves the rest.
-		lead := min(time.Duration((p.served[d.Customer]-least)*float64(time.Second)), maxLead)
-		key := d.Deadline.Add(lead)
+		// A customer's deadline is deferred by the load time granted to it
+		// beyond the customer with the least, so that one customer's burst
+		// does not starve the others.
+		penalty := min(time.Duration((p.served[d.Customer]-lowest)*float64(time.Second)), maxFairnessPenalty)
+		key := d.Deadline.Add(penalty)
 		if class < it.class || (class == it.class && key.Before(it.key)) {
 			it.class, it.key = class, key
 		}
@@ -181,45 +184,46 @@
 	return it
 }
 
-const maxLead = 30 * time.Second // most that fairness moves a deadline
+const maxFairnessPenalty = 30 * time.Second // maximum by which fairness defers a deadline
 
-func (p *Planner) leastServed() float64 {
-	least, any := 0.0, false
-	for _, w := range p.wants {
-		for _, a := range w.by {
+// minServed returns the least load time granted among the customers with demand.
+func (p *Planner) minServed() float64 {
+	lowest, found := 0.0, false
+	for _, td := range p.demands {
+		for _, a := range td.byRequester {
 			v := p.served[a.demand.Customer]
-			if !any || v < least {
-				least, any = v, true
+			if !found || v < lowest {
+				lowest, found = v, true
 			}
 		}
 	}
-	return least
+	return lowest
 }
 
-// charge counts a granted load against the customers who asked for it.
+// charge divides the time of a granted load among the requesters of t.
 func (p *Planner) charge(t ident.Target, took time.Duration) {
-	w := p.wants[t]
-	if w == nil || len(w.by) == 0 {
+	td := p.demands[t]
+	if td == nil || len(td.byRequester) == 0 {
 		return
 	}
-	share := took.Seconds() / float64(len(w.by))
-	for k := range w.by {
+	share := took.Seconds() / float64(len(td.byRequester))
+	for k := range td.byRequester {
 		p.served[k.customer] += share
 	}
 }
 
-// fadeServed forgets half of what was served every minute; fairness is about
-// the present burst, not about last week.
-func (p *Planner) fadeServed() {
+// decayServed halves the load time recorded for each customer every minute:
+// fairness concerns the present burst, not earlier use.
+func (p *Planner) decayServed() {
 	for c := range p.served {
-		p.served[c] *= servedKeep
+		p.served[c] *= servedDecay
 		if p.served[c] < 0.01 {
 			delete(p.served, c)
 		}
 	}
 }
 
-const servedKeep = 0.98851402 // per second; one half after a minute
+const servedDecay = 0.98851402 // per second; gives one half after a minute
 
 func maxTime(a, b time.Time) time.Time {
 	if a.After(b) {
--- a/internal/core/placement/loads.go
+++ b/internal/core/placement/loads.go
@@ -8,13 +8,13 @@
 	"github.com/cassiapass/cassiapass/internal/core/state"
 )
 
-// planLoads proposes grants in queue order and estimates when the rest will be
-// ready.
+// planLoads proposes grants in queue order and estimates when the remaining
+// targets will be ready.
 func (p *Planner) planLoads(now time.Time, st *state.State) []state.Command {
-	if len(p.wants) == 0 {
+	if len(p.demands) == 0 {
 		return nil
 	}
-	slots := p.storeSlots(now, st)
+	slots := p.storeOccupancy(now, st)
 	var cmds []state.Command
 	for _, it := range p.queue(now, st) {
 		cmds = append(cmds, p.planOne(now, st, it, slots)...)
@@ -22,16 +22,17 @@
 	return cmds
 }
 
-// storeLanes tells when each of the store's full-speed loads ends.
-type storeLanes struct {
-	free  []time.Time // one per concurrent load, when it becomes free
-	spare int         // lanes free now
+// storeSlots is the schedule of the loads that the weight store serves at full
+// speed.
+type storeSlots struct {
+	freeAt []time.Time // for each concurrent load, when its slot becomes free; sorted
+	spare  int         // slots free now
 }
 
-// storeSlots counts the remote loads under way. A grant whose source this
-// planner does not know, made by an earlier leader, counts as remote.
-func (p *Planner) storeSlots(now time.Time, st *state.State) *storeLanes {
-	s := &storeLanes{}
+// storeOccupancy returns the store's schedule with the remote loads in progress. A
+// grant whose source is unknown, made under an earlier leader, counts as remote.
+func (p *Planner) storeOccupancy(now time.Time, st *state.State) *storeSlots {
+	s := &storeSlots{}
 	st.EachReplica(func(r state.Replica) {
 		if r.Phase != state.Granted {
 			return
@@ -40,60 +41,64 @@
 		if known && src != FromRemote {
 			return
 		}
-		s.free = append(s.free, maxTime(now, r.Since.Add(p.loadTime(FromRemote, r.Bytes))))
+		s.freeAt = append(s.freeAt, maxTime(now, r.Since.Add(p.loadTime(FromRemote, r.Bytes))))
 	})
 	for k := range p.proposed {
 		if k.id == 0 && p.source(k.target, k.host) == FromRemote {
-			s.free = append(s.free, now.Add(p.loadTime(FromRemote, p.bytes(st, k.target))))
+			s.freeAt = append(s.freeAt, now.Add(p.loadTime(FromRemote, p.bytes(st, k.target))))
 		}
 	}
-	s.spare = max(0, p.cfg.StoreConcurrent-len(s.free))
+	s.spare = max(0, p.cfg.StoreConcurrent-len(s.freeAt))
 	for range s.spare {
-		s.free = append(s.free, now)
+		s.freeAt = append(s.freeAt, now)
 	}
-	slices.SortFunc(s.free, time.Time.Compare)
-	// When more loads are under way than run at full speed, the last ones to
-	// end free the lanes that count.
-	s.free = s.free[max(0, len(s.free)-p.cfg.StoreConcurrent):]
+	slices.SortFunc(s.freeAt, time.Time.Compare)
+	// If more loads are in progress than the store serves at full speed, a slot
+	// is free only once the excess has ended: the latest ends count.
+	s.freeAt = s.freeAt[max(0, len(s.freeAt)-p.cfg.StoreConcurrent):]
 	return s
 }
 
-// take occupies the lane that is free first and returns when its load ends.
-func (s *storeLanes) take(d time.Duration) time.Time {
-	end := s.free[0].Add(d)
-	s.free[0] = end
-	slices.SortFunc(s.free, time.Time.Compare)
+// reserve occupies the slot that becomes free first and returns when its load
+// ends.
+func (s *storeSlots) reserve(d time.Duration) time.Time {
+	end := s.freeAt[0].Add(d)
+	s.freeAt[0] = end
+	slices.SortFunc(s.freeAt, time.Time.Compare)
 	return end
 }
 
+// bytes returns the accelerator memory of one replica of t, 0 if no record states
+// it.
 func (p *Planner) bytes(st *state.State, t ident.Target) int64 {
-	said, _ := st.Stated(t)
-	return said.Bytes
+	stmt, _ := st.Stated(t)
+	return stmt.Bytes
 }
 
-// planOne decides one queued target, or estimates when that will be possible.
-func (p *Planner) planOne(now time.Time, st *state.State, it item, lanes *storeLanes) []state.Command {
-	if p.onItsWay(it.target) {
+// planOne returns the commands for one queued target, or none if it must wait, and
+// estimates when the target will be ready.
+func (p *Planner) planOne(now time.Time, st *state.State, it item, slots *storeSlots) []state.Command {
+	if p.grantProposed(it.target) {
 		return nil
 	}
 	best, ok := p.place(now, st, it)
 	if !ok {
-		p.etas[it.target] = p.estimateRoom(now, st, it)
+		p.etas[it.target] = p.estimateEviction(now, st, it)
 		return nil
 	}
 	if len(best.victims) > 0 {
-		return p.makeRoom(now, it, best)
+		return p.evictFor(now, it, best)
 	}
-	// An adapter whose base is not there yet: decide the base first, the
-	// adapter follows as soon as the log holds it.
+	// If an adapter's base is missing, grant the base first; the adapter follows
+	// once the log has applied that grant.
 	step := it.target
 	if best.needsBase {
 		step = it.target.Base()
 	}
 	src := p.source(step, best.host)
 	took := p.loadTime(src, p.bytes(st, step))
-	if src == FromRemote && (lanes.spare == 0 || !p.tokens.AllowN(now, 1)) {
-		p.etas[it.target] = Estimate{Target: it.target, Ready: lanes.take(best.load), Reason: "queued for the weight store"}
+	if src == FromRemote && (slots.spare == 0 || !p.tokens.AllowN(now, 1)) {
+		p.etas[it.target] = Estimate{Target: it.target, Ready: slots.reserve(best.load), Reason: "queued for the weight store"}
 		return nil
 	}
 	if !p.propose(now, proposal{target: step, host: best.host}) {
@@ -101,8 +106,8 @@
 	}
 	ready := now.Add(best.load)
 	if src == FromRemote {
-		lanes.spare--
-		ready = lanes.take(took).Add(best.load - took)
+		slots.spare--
+		ready = slots.reserve(took).Add(best.load - took)
 	}
 	p.etas[it.target] = Estimate{Target: it.target, Ready: ready, Reason: "loading from " + string(src)}
 	p.charge(it.target, took)
@@ -113,15 +118,17 @@
 	return []state.Command{{Grant: &state.Grant{Target: step, Host: best.host, Reason: reason}}}
 }
 
-// ReasonNoRoom is the reason of an Estimate without a time.
+// ReasonNoRoom is the reason of an Estimate without a time: no endpoint can hold
+// the target, not even after evictions.
 const ReasonNoRoom = "no endpoint has or can free enough memory"
 
-// estimateRoom estimates a target that fits nowhere now. Replicas that are too
-// young to be evicted, loading or in use will make room in a while; a target
-// that is larger than what an endpoint may ever free has no estimate.
-func (p *Planner) estimateRoom(now time.Time, st *state.State, it item) Estimate {
+// estimateEviction estimates when a target that fits nowhere now will be ready.
+// Replicas that are loading, in use or too young are expected to become
+// evictable; a target larger than the memory that any endpoint can free has no
+// estimated time.
+func (p *Planner) estimateEviction(now time.Time, st *state.State, it item) Estimate {
 	later := now.Add(max(p.cfg.MinResidence, evictIdle))
-	it.hopeful = true
+	it.assumeEvictable = true
 	c, ok := p.place(later, st, it)
 	if !ok {
 		return Estimate{Target: it.target, Reason: ReasonNoRoom}
@@ -129,7 +136,9 @@
 	return Estimate{Target: it.target, Ready: later.Add(unloadTime + c.load), Reason: "waiting until a replica may be evicted"}
 }
 
-func (p *Planner) onItsWay(t ident.Target) bool {
+// grantProposed reports whether a grant of t or of its base is proposed and not
+// yet applied.
+func (p *Planner) grantProposed(t ident.Target) bool {
 	for k := range p.proposed {
 		if k.id == 0 && (k.target == t || k.target == t.Base()) {
 			return true
@@ -138,9 +147,9 @@
 	return false
 }
 
-// makeRoom drains the victims and keeps their memory for the target.
-func (p *Planner) makeRoom(now time.Time, it item, best candidate) []state.Command {
-	p.intents[it.target] = intent{host: best.host, bytes: best.needs, expires: now.Add(intentTTL)}
+// evictFor drains the victims and reserves memory for the target.
+func (p *Planner) evictFor(now time.Time, it item, best candidate) []state.Command {
+	p.reservations[it.target] = reservation{host: best.host, bytes: best.needs, expires: now.Add(reservationTTL)}
 	p.etas[it.target] = Estimate{Target: it.target, Ready: now.Add(best.load + unloadTime), Reason: "waiting for memory to be freed"}
 	var cmds []state.Command
 	for _, v := range best.victims {
@@ -152,14 +161,15 @@
 }
 
 const (
-	intentTTL  = 30 * time.Second // memory kept for a target that waits for an eviction
-	unloadTime = time.Second      // expected time from drain to freed memory
+	reservationTTL = 30 * time.Second // limit of a reservation for a target that waits for an eviction
+	unloadTime     = time.Second      // expected time from draining to freed memory
 )
 
 func drain(r state.Replica, reason string) state.Command {
 	return state.Command{Replica: &state.ReplicaSet{ID: r.ID, Phase: state.Draining, Reason: reason}}
 }
 
+// estimateReplicas estimates when the first of the present replicas of t is ready.
 func (p *Planner) estimateReplicas(now time.Time, st *state.State, t ident.Target) Estimate {
 	est := Estimate{Target: t}
 	for _, r := range st.ReplicasOf(t) {
@@ -180,7 +190,7 @@
 	return est
 }
 
-// readyAt estimates when a granted replica is loaded, its base included.
+// readyAt estimates when a granted replica and its base are loaded.
 func (p *Planner) readyAt(now time.Time, st *state.State, r state.Replica) time.Time {
 	src, known := p.sources[r.ID]
 	if !known {
@@ -192,14 +202,15 @@
 	}
 	at := start.Add(p.loadTime(src, r.Bytes))
 	if at.Before(now) {
-		// Overdue: the store may have slowed down. Expect as long again as
-		// it has taken so far rather than "any moment now".
+		// Overdue: the weight store may have slowed down. Expect half of the
+		// time taken so far in addition, rather than an immediate end.
 		at = now.Add(now.Sub(r.Since) / 2)
 	}
 	return at
 }
 
-// Estimate tells when a replica of t is expected, and whether that is known.
+// Estimate returns when a replica of t is expected to be ready, and whether an
+// estimate exists.
 func (p *Planner) Estimate(now time.Time, st *state.State, t ident.Target) (Estimate, bool) {
 	if st.Count(t) > 0 {
 		return p.estimateReplicas(now, st, t), true
--- a/internal/core/placement/place.go
+++ b/internal/core/placement/place.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	zonePenalty  = 1.0              // seconds that a second replica in one availability zone is worth avoiding
-	fullPenalty  = 0.5              // seconds between an empty and a full endpoint
-	evictHorizon = 10 * time.Minute // a victim's chance of use is looked at this far ahead
+	zonePenalty  = 1.0              // cost in seconds of a second replica in the same availability zone
+	fullPenalty  = 0.5              // difference in cost, in seconds, between an empty and a full endpoint
+	evictHorizon = 10 * time.Minute // period for which a victim's probability of use is estimated
 )
 
-// candidate is one way to place a target.
+// candidate is a possible placement of a target.
 type candidate struct {
 	host      ident.HostID
 	needsBase bool
 	needs     int64 // bytes
 	load      time.Duration
-	cost      float64 // seconds; the least wins
+	cost      float64 // seconds; the lowest cost wins
 	victims   []state.Replica
 }
 
-// place returns the cheapest endpoint for a target: first among those with
-// room, and only if there is none among those that can free some.
+// place returns the cheapest endpoint for a target among those with enough free
+// memory. Only if there is none does it consider evictions.
 func (p *Planner) place(now time.Time, st *state.State, it item) (candidate, bool) {
 	zones := p.zonesOf(st, it.target)
-	kept := p.keptMemory(it.target)
+	reserved := p.reservedMemory(it.target)
 	var best candidate
 	found := false
 	pick := func(evict bool) {
 		st.EachEndpoint(func(e state.Endpoint) {
-			c, ok := p.candidate(now, st, it, e, zones, kept, evict)
+			c, ok := p.candidate(now, st, it, e, zones, reserved, evict)
 			if !ok {
 				return
 			}
@@ -51,6 +51,7 @@
 	return best, found
 }
 
+// zonesOf returns the availability zones that hold a replica of t.
 func (p *Planner) zonesOf(st *state.State, t ident.Target) map[ident.Zone]bool {
 	zones := map[ident.Zone]bool{}
 	for _, r := range st.ReplicasOf(t) {
@@ -61,30 +62,32 @@
 	return zones
 }
 
-// keptMemory sums the memory that is being freed or about to be granted for
-// other targets, by endpoint.
-func (p *Planner) keptMemory(t ident.Target) map[ident.HostID]int64 {
-	kept := map[ident.HostID]int64{}
-	for other, in := range p.intents {
+// reservedMemory returns the memory reserved for targets other than t, by
+// endpoint.
+func (p *Planner) reservedMemory(t ident.Target) map[ident.HostID]int64 {
+	reserved := map[ident.HostID]int64{}
+	for other, in := range p.reservations {
 		if other != t {
-			kept[in.host] += in.bytes
+			reserved[in.host] += in.bytes
 		}
 	}
-	return kept
+	return reserved
 }
 
-func (p *Planner) candidate(now time.Time, st *state.State, it item, e state.Endpoint, zones map[ident.Zone]bool, kept map[ident.HostID]int64, evict bool) (candidate, bool) {
-	if !e.Up || e.Leaving || e.Serves != "" || !slices.Contains(it.said.Places, e.Place) {
+// candidate returns the placement of a target on endpoint e and its cost, and
+// false if e can't hold it. Victims are chosen only if evict is set.
+func (p *Planner) candidate(now time.Time, st *state.State, it item, e state.Endpoint, zones map[ident.Zone]bool, reserved map[ident.HostID]int64, evict bool) (candidate, bool) {
+	if !e.Up || e.Leaving || e.Serves != "" || !slices.Contains(it.stmt.Places, e.Place) {
 		return candidate{}, false
 	}
-	if _, there := st.At(it.target, e.Host); there {
+	if _, present := st.At(it.target, e.Host); present {
 		return candidate{}, false
 	}
-	c := candidate{host: e.Host, needs: it.said.Bytes, load: p.loadTime(p.source(it.target, e.Host), it.said.Bytes)}
-	if it.target.IsAdapter() && !p.withBase(st, it.target, e.Host, &c) {
+	c := candidate{host: e.Host, needs: it.stmt.Bytes, load: p.loadTime(p.source(it.target, e.Host), it.stmt.Bytes)}
+	if it.target.IsAdapter() && !p.addMissingBase(st, it.target, e.Host, &c) {
 		return candidate{}, false
 	}
-	free := e.Memory - st.Used(e.Host) - kept[e.Host] - p.pending(st, e.Host)
+	free := e.Memory - st.Used(e.Host) - reserved[e.Host] - p.pending(st, e.Host)
 	c.cost = c.load.Seconds() + fullPenalty*float64(st.Used(e.Host))/float64(e.Memory)
 	if zones[e.Zone] {
 		c.cost += zonePenalty
@@ -98,10 +101,11 @@
 	return c, true
 }
 
-// withBase adds the base model to a candidate where it is missing.
-func (p *Planner) withBase(st *state.State, t ident.Target, h ident.HostID, c *candidate) bool {
-	base, there := st.At(t.Base(), h)
-	if there {
+// addMissingBase adds the load of an adapter's base model to a candidate if the
+// host lacks it. It returns false if the base is draining or may not be loaded.
+func (p *Planner) addMissingBase(st *state.State, t ident.Target, h ident.HostID, c *candidate) bool {
+	base, present := st.At(t.Base(), h)
+	if present {
 		return base.Phase != state.Draining
 	}
 	if st.Count(t.Base()) >= st.Sold(t) {
@@ -114,7 +118,8 @@
 	return true
 }
 
-// pending sums grants proposed for an endpoint that the log has not applied.
+// pending sums the bytes of grants proposed for an endpoint that the log has not
+// applied.
 func (p *Planner) pending(st *state.State, h ident.HostID) int64 {
 	sum := int64(0)
 	for k := range p.proposed {
@@ -125,15 +130,16 @@
 	return sum
 }
 
-// victim is a replica, adapters that sit on it included, that may be evicted.
+// victim is a replica that may be evicted, together with the adapters that
+// depend on it.
 type victim struct {
 	all   []state.Replica
 	bytes int64
 	loss  float64 // expected reload seconds
 }
 
-// findVictims chooses replicas whose loss per byte is least until enough bytes
-// come free, and adds their loss to the candidate's cost.
+// findVictims chooses victims in order of increasing loss per byte until enough
+// bytes are freed, and adds their loss to the candidate's cost.
 func (p *Planner) findVictims(now time.Time, st *state.State, it item, c *candidate, bytes int64) bool {
 	var all []victim
 	for _, id := range st.ByHost(c.host) {
@@ -142,24 +148,24 @@
 			continue
 		}
 		if r.Phase == state.Draining {
-			bytes -= r.Bytes // already on its way out
+			bytes -= r.Bytes // already being unloaded
 			continue
 		}
-		if v, ok := p.victim(now, st, r, it.hopeful); ok {
+		if v, ok := p.victim(now, st, r, it.assumeEvictable); ok {
 			all = append(all, v)
 		}
 	}
 	slices.SortFunc(all, func(a, b victim) int {
 		return cmp.Or(cmp.Compare(a.loss/float64(a.bytes), b.loss/float64(b.bytes)), cmp.Compare(a.all[0].ID, b.all[0].ID))
 	})
-	taken := map[ident.Index]bool{}
+	chosen := map[ident.Index]bool{}
 	for _, v := range all {
 		if bytes <= 0 {
 			break
 		}
 		for _, r := range v.all {
-			if !taken[r.ID] {
-				taken[r.ID] = true
+			if !chosen[r.ID] {
+				chosen[r.ID] = true
 				bytes -= r.Bytes
 				c.victims = append(c.victims, r)
 			}
@@ -169,10 +175,12 @@
 	return bytes <= 0
 }
 
-func (p *Planner) victim(now time.Time, st *state.State, r state.Replica, hopeful bool) (victim, bool) {
+// victim returns r with its dependents, and false if one of them may not be
+// evicted.
+func (p *Planner) victim(now time.Time, st *state.State, r state.Replica, assumeEvictable bool) (victim, bool) {
 	v := victim{all: append(st.Dependents(r), r)}
 	for _, m := range v.all {
-		if !hopeful && !p.evictable(now, st, m) {
+		if !assumeEvictable && !p.evictable(now, st, m) {
 			return victim{}, false
 		}
 		v.bytes += m.Bytes
@@ -181,21 +189,21 @@
 	return v, true
 }
 
-// evictable reports whether a replica may make room for another target. The
-// minimum age keeps two targets from throwing each other out in turns.
+// evictable reports whether a replica may be evicted for another target. The
+// minimum age prevents two targets from evicting each other in turn.
 func (p *Planner) evictable(now time.Time, st *state.State, r state.Replica) bool {
 	l := p.loads[r.ID]
 	if r.Phase != state.Ready || l.Running+l.Waiting > 0 || now.Sub(r.Since) < p.cfg.MinResidence {
 		return false
 	}
-	if w, wanted := p.wants[r.Target]; wanted && len(w.by) > 0 {
+	if td, wanted := p.demands[r.Target]; wanted && len(td.byRequester) > 0 {
 		return false
 	}
 	if p.idle(now, r.Target) < evictIdle {
 		return false
 	}
-	said, ok := st.Stated(r.Target)
-	return !ok || st.Count(r.Target) > said.Min
+	stmt, ok := st.Stated(r.Target)
+	return !ok || st.Count(r.Target) > stmt.Min
 }
 
 const evictIdle = 2 * time.Second // a replica used more recently is not evicted
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1_000_000, 0).UTC()
 
-// world is a state with a planner, whose commands are applied at once.
+// world is a state and a planner whose commands are applied immediately.
 type world struct {
 	st  *state.State
 	p   *Planner
@@ -41,7 +41,7 @@
 	return res
 }
 
-// plan applies what the planner decides and returns the grants.
+// plan applies the planner's commands and returns the accepted grants.
 func (w *world) plan() []state.Grant {
 	var out []state.Grant
 	for _, c := range w.p.Plan(w.now, w.st) {
@@ -58,8 +58,8 @@
 	w.p.Demand(w.now, w.st, Demand{Entry: entry, Customer: "c", Target: t, Waiting: waiting, Deadline: w.now.Add(time.Minute)})
 }
 
-// ready reports every granted replica as loaded.
-func (w *world) ready() {
+// finishLoads reports every granted replica as loaded.
+func (w *world) finishLoads() {
 	for _, r := range w.st.Replicas() {
 		if r.Phase == state.Granted {
 			w.apply(state.Command{Replica: &state.ReplicaSet{ID: r.ID, Phase: state.Ready}})
@@ -71,17 +71,17 @@
 	return fmt.Sprintf(`{"name":%q,"version":%q,"bytes":%d}`, name, version, bytes)
 }
 
-func TestDemandOfManyEntriesIsDecidedOnce(t *testing.T) {
+func TestRepeatedDemandGrantsEachReplicaOnce(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(model("m", "1", 10e9), 4, DefaultConfig())
 	m := ident.Target{Model: "m", Version: "1"}
-	for range 5 { // repeated, as entries do
+	for range 5 { // entries repeat their demands
 		for e := range 10 {
 			w.demand(ident.HostID(fmt.Sprint("e", e)), m, 1)
 		}
 		w.plan()
 	}
-	is.Equal(w.st.Count(m), 2) // ten wait, one replica runs eight, two were sold
+	is.Equal(w.st.Count(m), 2) // ten requests wait, one replica runs eight, two were sold
 }
 
 func TestNearestCheckpointWins(t *testing.T) {
@@ -94,7 +94,7 @@
 	is.Equal(w.plan()[0].Host, ident.HostID("h3"))
 }
 
-func TestStoreLoadsKeepToFullSpeed(t *testing.T) {
+func TestConcurrentStoreLoadsAreLimited(t *testing.T) {
 	is := is.New(t)
 	models := model("m0", "1", 10e9)
 	for i := 1; i < 12; i++ {
@@ -109,36 +109,35 @@
 	is.Equal(len(w.plan()), 0)
 	last, known := w.p.Estimate(w.now, w.st, ident.Target{Model: "m9", Version: "1"})
 	is.True(known)
-	is.True(last.Ready.After(w.now.Add(9 * time.Second))) // two loads of 5 s before it or more
-	w.ready()
+	is.True(last.Ready.After(w.now.Add(9 * time.Second))) // after two or more loads of 5 s
+	w.finishLoads()
 	is.Equal(len(w.plan()), cfg.StoreConcurrent)
 }
 
-// Symptom: requests meet cold starts when a new version is put beside the old.
-// Sequence: a model in use gets a second version in its record.
-// Cause: nobody asks for the new version before it is the one that is served.
-func TestNewVersionIsLoadedWhileTheOldOneServes(t *testing.T) {
+// Guards against cold starts when a record adds a second version of a model in
+// use: nothing requests the new version until it is the one that is served.
+func TestNewVersionIsLoadedWhileOldVersionServes(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(model("m", "1", 10e9)+","+model("m", "2", 10e9), 2, DefaultConfig())
 	old, next := ident.Target{Model: "m", Version: "1"}, ident.Target{Model: "m", Version: "2"}
 	w.demand("e", old, 1)
 	is.Equal(w.plan()[0].Target, old)
-	w.ready()
+	w.finishLoads()
 	w.now = w.now.Add(2 * time.Second)
 	w.plan()
 	w.now = w.now.Add(100 * time.Millisecond)
 	w.plan()
 	is.Equal(w.st.Count(next), 1)
-	is.Equal(w.st.Count(old), 1) // still there while it is used
+	is.Equal(w.st.Count(old), 1) // kept while in use
 }
 
-func TestReplicasThatNoRecordStatesAreDrained(t *testing.T) {
+func TestReplicasWithoutARecordAreDrained(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(model("m", "1", 10e9), 2, DefaultConfig())
 	m := ident.Target{Model: "m", Version: "1"}
 	w.demand("e", m, 1)
 	w.plan()
-	w.ready()
+	w.finishLoads()
 	r, _ := w.st.Record("s")
 	w.apply(state.Command{Withdraw: &state.Withdraw{Request: "w", Name: "s", Base: r.Revision}})
 	w.now = w.now.Add(2 * time.Second)
--- a/internal/core/placement/planner.go
+++ b/internal/core/placement/planner.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	sweepEvery  = time.Second      // between passes over all replicas
-	wakeWindow  = 30 * time.Second // wakes this close together count as one burst
-	sampleBatch = 10 * time.Second // idle samples are committed this often
-	wakeGap     = 2 * time.Second  // a use after a shorter pause is no wake
-	speedWeight = 0.3              // weight of the newest load in the estimated speed
-	grantExpiry = 5 * time.Second  // a proposed command not applied by then is decided anew
+	sweepInterval  = time.Second      // interval between passes over all replicas
+	wakeWindow     = 30 * time.Second // wakes within this time of each other count as related
+	sampleInterval = 10 * time.Second // interval between commits of idle samples
+	wakeGap        = 2 * time.Second  // a use after a shorter pause is neither a sample nor a wake
+	speedWeight    = 0.3              // weight of the newest load in the estimated speed (exponential moving average)
+	proposalTTL    = 5 * time.Second  // a command that is not applied within this time may be proposed again
 )
 
 // Planner decides loads and unloads. It is not safe for concurrent use.
@@ -25,74 +25,77 @@
 	started time.Time
 	tokens  *rate.Limiter
 
-	wants   map[ident.Target]*want
+	demands map[ident.Target]*targetDemand
 	hosts   map[ident.HostID]*host
 	loads   map[ident.Index]ReplicaLoad
 	speeds  map[Source]float64
-	sources map[ident.Index]Source // of grants that are loading
+	sources map[ident.Index]Source // of replicas whose load is in progress
 
 	lastUse   map[ident.Target]time.Time
-	wakes     []wake // recent, oldest first
+	wakes     []wake // within wakeWindow, oldest first
 	samples   []keepalive.Sample
 	sampledAt time.Time
 	sweptAt   time.Time
 
-	proposed map[proposal]time.Time // commands on their way through the log
-	intents  map[ident.Target]intent
-	leaving  map[ident.HostID]time.Time // since when endpoints take no new work
-	served   map[ident.Customer]float64 // load seconds granted per replica sold, for fairness
-	etas     map[ident.Target]Estimate
+	proposed     map[proposal]time.Time // commands that the log has not applied yet
+	reservations map[ident.Target]reservation
+	leavingSince map[ident.HostID]time.Time // when endpoints were first seen as leaving
+	served       map[ident.Customer]float64 // seconds of load time granted, decayed over time, for fairness
+	etas         map[ident.Target]Estimate
 }
 
-// host is what agents reported.
+// host is the state that the agent of a host has reported.
 type host struct {
 	incarnation ident.Incarnation
 	cached      map[ident.Target]Source
 }
 
+// wake is the first known use of a target, or a use after a pause longer than
+// wakeWindow.
 type wake struct {
 	at     time.Time
 	target ident.Target
 }
 
-// proposal names a command so that it is not proposed twice while it is on its
-// way through the log.
+// proposal identifies a command, so that it is not proposed twice before the
+// log has applied it. id is zero for a grant.
 type proposal struct {
 	target ident.Target
 	host   ident.HostID
 	id     ident.Index
 }
 
-// intent keeps memory that is being freed at a host for one target. Without it
-// two targets that evict each other's room could both wait for ever.
-type intent struct {
+// reservation reserves memory that is being freed at a host for one target.
+// Without it, two targets could each take the memory that the other has freed
+// and both wait forever.
+type reservation struct {
 	host    ident.HostID
 	bytes   int64
 	expires time.Time
 }
 
-// New returns a Planner that knows nothing yet. Replicas whose last use it has
-// not heard of count as used at its start, so a new leader unloads late rather
-// than early.
+// New returns a Planner without demands or reports. A replica whose last use is
+// unknown counts as used when the Planner started, so a new leader unloads late
+// rather than early.
 func New(cfg Config, now time.Time) *Planner {
 	return &Planner{
 		cfg: cfg, started: now, sampledAt: now,
-		tokens:   rate.NewLimiter(rate.Limit(cfg.StoreRate), max(1, int(cfg.StoreRate))),
-		wants:    map[ident.Target]*want{},
-		hosts:    map[ident.HostID]*host{},
-		loads:    map[ident.Index]ReplicaLoad{},
-		speeds:   map[Source]float64{FromMemory: cfg.MemorySpeed, FromDisk: cfg.DiskSpeed, FromRemote: cfg.RemoteSpeed},
-		sources:  map[ident.Index]Source{},
-		lastUse:  map[ident.Target]time.Time{},
-		proposed: map[proposal]time.Time{},
-		intents:  map[ident.Target]intent{},
-		leaving:  map[ident.HostID]time.Time{},
-		served:   map[ident.Customer]float64{},
-		etas:     map[ident.Target]Estimate{},
+		tokens:       rate.NewLimiter(rate.Limit(cfg.StoreRate), max(1, int(cfg.StoreRate))),
+		demands:      map[ident.Target]*targetDemand{},
+		hosts:        map[ident.HostID]*host{},
+		loads:        map[ident.Index]ReplicaLoad{},
+		speeds:       map[Source]float64{FromMemory: cfg.MemorySpeed, FromDisk: cfg.DiskSpeed, FromRemote: cfg.RemoteSpeed},
+		sources:      map[ident.Index]Source{},
+		lastUse:      map[ident.Target]time.Time{},
+		proposed:     map[proposal]time.Time{},
+		reservations: map[ident.Target]reservation{},
+		leavingSince: map[ident.HostID]time.Time{},
+		served:       map[ident.Customer]float64{},
+		etas:         map[ident.Target]Estimate{},
 	}
 }
 
-// Report takes in an agent's report.
+// Report applies an agent's report. Reports of earlier incarnations are ignored.
 func (p *Planner) Report(now time.Time, st *state.State, r Report) {
 	h := p.hosts[r.Host]
 	if h != nil && r.Incarnation < h.incarnation {
@@ -110,36 +113,37 @@
 		h.cached[c.Target] = c.Source
 	}
 	for _, l := range r.Loaded {
-		p.measure(l)
+		p.observeLoad(l)
 	}
 	for _, l := range r.Replicas {
 		p.loads[l.ID] = l
 		if rep, ok := st.Replica(l.ID); ok {
-			p.used(now, rep.Target, l)
+			p.recordReplicaUse(now, rep.Target, l)
 		}
 	}
 }
 
-// measure takes a finished load into the estimated speed of its source. A slow
-// store shows here first, and every later estimate follows.
-func (p *Planner) measure(l LoadTime) {
+// observeLoad updates the estimated speed of a source with a finished load. A
+// slow weight store shows up here first, and all later estimates account for it.
+func (p *Planner) observeLoad(l LoadTime) {
 	if l.Took <= 0 || l.Bytes <= 0 {
 		return
 	}
-	seen := float64(l.Bytes) / l.Took.Seconds()
-	p.speeds[l.Source] += speedWeight * (seen - p.speeds[l.Source])
+	observed := float64(l.Bytes) / l.Took.Seconds()
+	p.speeds[l.Source] += speedWeight * (observed - p.speeds[l.Source])
 }
 
-// used records the last use of a target and notices wakes.
-func (p *Planner) used(now time.Time, t ident.Target, l ReplicaLoad) {
+// recordReplicaUse records the use of a target that an agent reports for a replica.
+func (p *Planner) recordReplicaUse(now time.Time, t ident.Target, l ReplicaLoad) {
 	at := l.LastUsed
 	if l.Running+l.Waiting > 0 {
 		at = now
 	}
-	p.touch(at, t)
+	p.recordUse(at, t)
 }
 
-func (p *Planner) touch(at time.Time, t ident.Target) {
+// recordUse records the last use of a target, and a sample of its idle time.
+func (p *Planner) recordUse(at time.Time, t ident.Target) {
 	last, known := p.lastUse[t]
 	if !at.After(last) {
 		return
@@ -152,16 +156,17 @@
 	if known {
 		s.Idle = at.Sub(last)
 	}
-	// Only a use after a long pause is a wake; pauses inside a visit would
-	// make everything that is used at the same time look related.
+	// Only a use after a long pause is a wake: short pauses within a session
+	// would make all targets that are in use at the same time look related.
 	if s.Woke = !known || s.Idle > wakeWindow; s.Woke {
-		s.With = p.wokeWith(at, t)
+		s.With = p.recordWake(at, t)
 	}
 	p.samples = append(p.samples, s)
 }
 
-// wokeWith records a wake and returns the targets that woke shortly before.
-func (p *Planner) wokeWith(at time.Time, t ident.Target) []ident.Target {
+// recordWake records a wake and returns the targets that woke within wakeWindow
+// before it.
+func (p *Planner) recordWake(at time.Time, t ident.Target) []ident.Target {
 	var with []ident.Target
 	p.wakes = dropBefore(p.wakes, at.Add(-wakeWindow))
 	for _, w := range p.wakes {
@@ -173,7 +178,7 @@
 	return with
 }
 
-const maxCompanions = 16 // targets recorded with one wake
+const maxCompanions = 16 // maximum targets recorded with one wake
 
 func dropBefore(ws []wake, t time.Time) []wake {
 	i := 0
@@ -183,8 +188,8 @@
 	return ws[i:]
 }
 
-// LastUse returns the last use of a target that this planner knows of, or its
-// own start.
+// LastUse returns the last known use of a target, or the Planner's start time if
+// none is known.
 func (p *Planner) LastUse(t ident.Target) time.Time {
 	if at, ok := p.lastUse[t]; ok {
 		return at
@@ -197,45 +202,45 @@
 	return now.Sub(p.LastUse(t))
 }
 
-// Plan returns the commands that the present state calls for. It is cheap when
-// nothing waits; passes over all replicas happen once a second.
+// Plan returns the commands to propose in the present state. It is cheap when
+// there is no demand; passes over all replicas happen once a second.
 func (p *Planner) Plan(now time.Time, st *state.State) []state.Command {
-	p.forgetOld(now, st)
+	p.expire(now, st)
 	var cmds []state.Command
-	if now.Sub(p.sweptAt) >= sweepEvery {
+	if now.Sub(p.sweptAt) >= sweepInterval {
 		p.sweptAt = now
 		cmds = append(cmds, p.sweep(now, st)...)
 	}
 	cmds = append(cmds, p.planLoads(now, st)...)
-	if len(p.samples) > 0 && now.Sub(p.sampledAt) >= sampleBatch {
+	if len(p.samples) > 0 && now.Sub(p.sampledAt) >= sampleInterval {
 		cmds = append(cmds, state.Command{History: &state.History{Samples: p.samples}})
 		p.samples, p.sampledAt = nil, now
 	}
 	return cmds
 }
 
-// forgetOld drops proposals that were applied or lost and demands that were
-// not repeated.
-func (p *Planner) forgetOld(now time.Time, st *state.State) {
+// expire drops outdated proposals and reservations, and demands that were not
+// repeated in time.
+func (p *Planner) expire(now time.Time, st *state.State) {
 	for k, at := range p.proposed {
-		if now.Sub(at) > grantExpiry {
+		if now.Sub(at) > proposalTTL {
 			delete(p.proposed, k)
 		}
 	}
-	for t, in := range p.intents {
+	for t, in := range p.reservations {
 		if now.After(in.expires) {
-			delete(p.intents, t)
+			delete(p.reservations, t)
 		}
 	}
-	for t, w := range p.wants {
-		w.prune(now, p.cfg)
-		if len(w.by) == 0 && p.readySince(st, t, w.first) {
-			// Met: what is unloaded later, being idle, must not be loaded
-			// again for the same demand.
-			w.warmTil = now
+	for t, td := range p.demands {
+		td.prune(now, p.cfg)
+		if len(td.byRequester) == 0 && p.readySince(st, t, td.since) {
+			// The demand is met: a replica that is later unloaded as idle must
+			// not be loaded again for the same demand.
+			td.warmUntil = now
 		}
-		if w.empty(now) {
-			delete(p.wants, t)
+		if td.empty(now) {
+			delete(p.demands, t)
 			delete(p.etas, t)
 		}
 	}
@@ -251,14 +256,14 @@
 	return false
 }
 
-// Applied tells the Planner that the log carried out or refused a command, so
-// that it may propose anew.
+// Applied reports that the state machine applied or refused a command, so that
+// the Planner may propose it again.
 func (p *Planner) Applied(c state.Command, res state.Result) {
 	switch {
 	case c.Grant != nil:
 		delete(p.proposed, proposal{target: c.Grant.Target, host: c.Grant.Host})
 		if res.Code == state.OK {
-			p.noteSource(res.Revision, *c.Grant)
+			p.recordSource(res.Revision, *c.Grant)
 		}
 	case c.Replica != nil:
 		delete(p.proposed, proposal{id: c.Replica.ID})
@@ -271,14 +276,16 @@
 	}
 }
 
-func (p *Planner) noteSource(id ident.Index, g state.Grant) {
+// recordSource records the source of a granted load and releases the target's
+// reservation at that host.
+func (p *Planner) recordSource(id ident.Index, g state.Grant) {
 	p.sources[id] = p.source(g.Target, g.Host)
-	if in, ok := p.intents[g.Target]; ok && in.host == g.Host {
-		delete(p.intents, g.Target)
+	if in, ok := p.reservations[g.Target]; ok && in.host == g.Host {
+		delete(p.reservations, g.Target)
 	}
 }
 
-// source returns where host h has the checkpoint of t.
+// source returns the source from which host h loads the checkpoint of t.
 func (p *Planner) source(t ident.Target, h ident.HostID) Source {
 	if hs, ok := p.hosts[h]; ok {
 		if s, ok := hs.cached[t]; ok {
@@ -293,7 +300,7 @@
 	return time.Duration(float64(bytes) / p.speeds[s] * float64(time.Second))
 }
 
-// propose marks a command as on its way; false if it already is.
+// propose marks a command as proposed. It returns false if it already is.
 func (p *Planner) propose(now time.Time, k proposal) bool {
 	if _, ok := p.proposed[k]; ok {
 		return false
--- a/internal/core/placement/sweep.go
+++ b/internal/core/placement/sweep.go
@@ -9,37 +9,38 @@
 	"github.com/cassiapass/cassiapass/internal/core/state"
 )
 
-// sweep looks at every replica once: those that no record states, that exceed
-// what was sold, that sit on leaving endpoints or have been idle long enough
-// are drained. It also wants what records keep loaded at least.
+// sweep checks every replica and drains those that no record states, that exceed
+// the number sold, that are on leaving endpoints, or that have been idle for
+// longer than their keep-alive. It also adds demand for the replicas that records
+// keep loaded and for new versions of models in use.
 func (p *Planner) sweep(now time.Time, st *state.State) []state.Command {
-	p.fadeServed()
+	p.decayServed()
 	var cmds []state.Command
 	surplus := map[ident.Target]int{}
-	var doomed []state.Replica
+	var toDrain []state.Replica
 	reasons := map[ident.Index]string{}
 	st.EachReplica(func(r state.Replica) {
 		if r.Phase == state.Draining {
 			return
 		}
-		if why := p.drainReason(now, st, r, surplus); why != "" {
-			doomed = append(doomed, r)
-			reasons[r.ID] = why
+		if reason := p.drainReason(now, st, r, surplus); reason != "" {
+			toDrain = append(toDrain, r)
+			reasons[r.ID] = reason
 		}
 	})
-	slices.SortFunc(doomed, func(a, b state.Replica) int { return cmp.Compare(a.ID, b.ID) })
-	for _, r := range doomed {
+	slices.SortFunc(toDrain, func(a, b state.Replica) int { return cmp.Compare(a.ID, b.ID) })
+	for _, r := range toDrain {
 		if p.propose(now, proposal{id: r.ID}) {
 			cmds = append(cmds, drain(r, reasons[r.ID]))
 		}
 	}
-	p.keepMinimum(now, st)
-	p.shiftVersions(now, st)
+	p.demandMinimum(now, st)
+	p.preloadNewVersions(now, st)
 	return cmds
 }
 
-// drainReason tells why a replica should go, or "" if it stays. Base models
-// stay as long as an adapter sits on them.
+// drainReason returns the reason to drain a replica, or "" to keep it. A base
+// model is kept while an adapter depends on it, unless its endpoint is leaving.
 func (p *Planner) drainReason(now time.Time, st *state.State, r state.Replica, surplus map[ident.Target]int) string {
 	if p.hasLeft(now, st, r.Host) {
 		return "the endpoint is leaving"
@@ -47,49 +48,49 @@
 	if len(st.Dependents(r)) > 0 {
 		return ""
 	}
-	said, stated := st.Stated(r.Target)
+	stmt, stated := st.Stated(r.Target)
 	if !stated {
 		return "no record in force states it"
 	}
-	left := st.Count(r.Target) - surplus[r.Target]
+	remaining := st.Count(r.Target) - surplus[r.Target]
 	l := p.loads[r.ID]
 	busy := l.Running+l.Waiting > 0
 	switch {
-	case left > st.Sold(r.Target):
+	case remaining > st.Sold(r.Target):
 		surplus[r.Target]++
 		return "more than the records allow"
-	case r.Phase != state.Ready || busy || left <= said.Min:
+	case r.Phase != state.Ready || busy || remaining <= stmt.Min:
 		return ""
-	case p.wants[r.Target] != nil && len(p.wants[r.Target].by) > 0:
+	case p.demands[r.Target] != nil && len(p.demands[r.Target].byRequester) > 0:
 		return ""
 	}
 	idle := min(p.replicaIdle(now, r, l), now.Sub(r.Since))
-	if keep := p.keepFor(st, r, said); idle > keep {
+	if keepAlive := p.keepAliveFor(st, r, stmt); idle > keepAlive {
 		surplus[r.Target]++
-		return "idle for " + idle.Truncate(time.Second).String() + ", kept for " + keep.Truncate(time.Second).String()
+		return "idle for " + idle.Truncate(time.Second).String() + ", kept for " + keepAlive.Truncate(time.Second).String()
 	}
 	return ""
 }
 
-// hasLeft reports whether an endpoint has taken no new work for longer than a
-// restart of its agent takes. Draining at once would unload everything at each
-// rolling restart.
+// hasLeft reports whether an endpoint has been leaving for longer than a restart
+// of its agent takes. Draining at once would unload all models at each rolling
+// restart.
 func (p *Planner) hasLeft(now time.Time, st *state.State, h ident.HostID) bool {
 	e, ok := st.Endpoint(h)
 	if !ok || !e.Leaving {
-		delete(p.leaving, h)
+		delete(p.leavingSince, h)
 		return false
 	}
-	since, known := p.leaving[h]
+	since, known := p.leavingSince[h]
 	if !known {
-		p.leaving[h] = now
+		p.leavingSince[h] = now
 		return false
 	}
 	return now.Sub(since) > p.cfg.RetryAfter
 }
 
-// replicaIdle is the idle time of one replica; with several of one target the
-// reports tell them apart.
+// replicaIdle returns the idle time of one replica, from the agent's report if it
+// has one, since a target may have several replicas.
 func (p *Planner) replicaIdle(now time.Time, r state.Replica, l ReplicaLoad) time.Duration {
 	if l.LastUsed.IsZero() {
 		return p.idle(now, r.Target)
@@ -100,34 +101,36 @@
 	return min(now.Sub(l.LastUsed), p.idle(now, r.Target))
 }
 
-// keepFor returns how long an idle replica stays.
-func (p *Planner) keepFor(st *state.State, r state.Replica, said state.Statement) time.Duration {
+// keepAliveFor returns how long an idle replica stays loaded.
+func (p *Planner) keepAliveFor(st *state.State, r state.Replica, stmt state.Statement) time.Duration {
 	switch p.cfg.Policy {
 	case PolicyFixed:
 		return p.cfg.FixedKeepAlive
 	case PolicyNever:
-		return never
+		return unlimited
 	}
 	stats := st.History().Stats(r.Target)
 	reload := p.loadTime(p.source(r.Target, r.Host), r.Bytes)
-	return stats.KeepFor(p.cfg.KeepAlive, said.Weight, reload)
+	return stats.KeepFor(p.cfg.KeepAlive, stmt.Weight, reload)
 }
 
-const never = 1000 * time.Hour
+const unlimited = 1000 * time.Hour
 
-// keepMinimum wants the replicas that records keep loaded without demand.
-func (p *Planner) keepMinimum(now time.Time, st *state.State) {
-	st.EachStated(func(t ident.Target, said state.Statement) {
-		if said.Min > st.Count(t) {
-			w := p.want(now, t)
-			w.warmTil = maxTime(w.warmTil, now.Add(p.cfg.DemandTTL))
+// demandMinimum adds demand for the replicas that records keep loaded at all
+// times.
+func (p *Planner) demandMinimum(now time.Time, st *state.State) {
+	st.EachStated(func(t ident.Target, stmt state.Statement) {
+		if stmt.Min > st.Count(t) {
+			td := p.demandFor(now, t)
+			td.warmUntil = maxTime(td.warmUntil, now.Add(p.cfg.DemandTTL))
 		}
 	})
 }
 
-// shiftVersions loads a newer version of a model in use before requests shift
-// to it: entries send requests without a version to the newest ready one.
-func (p *Planner) shiftVersions(now time.Time, st *state.State) {
+// preloadNewVersions adds demand for the newest version of a model in use, before
+// requests shift to it: entries send requests without a version to the newest
+// version that is ready.
+func (p *Planner) preloadNewVersions(now time.Time, st *state.State) {
 	for _, rec := range st.Records() {
 		svc := rec.Service()
 		if svc == nil {
@@ -142,8 +145,8 @@
 			next := newest[m.Name]
 			recent := p.idle(now, t) < p.cfg.RetryAfter && !p.lastUse[t].IsZero()
 			if t != next && recent && st.Count(t) > 0 && st.Count(next) == 0 {
-				w := p.want(now, next)
-				w.warmTil = maxTime(w.warmTil, now.Add(p.cfg.RetryAfter))
+				td := p.demandFor(now, next)
+				td.warmUntil = maxTime(td.warmUntil, now.Add(p.cfg.RetryAfter))
 			}
 		}
 	}
--- a/internal/core/placement/types.go
+++ b/internal/core/placement/types.go
@@ -7,7 +7,7 @@
 	"github.com/cassiapass/cassiapass/internal/core/keepalive"
 )
 
-// Source tells where a checkpoint is nearest to an endpoint.
+// Source is the fastest place from which an endpoint can load a checkpoint.
 type Source string
 
 // The sources, fastest first.
@@ -17,7 +17,7 @@
 	FromRemote Source = "remote"
 )
 
-// Demand tells that requests for a target wait at an entry.
+// Demand reports that requests for a target wait at an entry.
 type Demand struct {
 	Entry    ident.HostID   `json:"entry"`
 	Service  string         `json:"service"`
@@ -36,14 +36,14 @@
 	LastUsed time.Time   `json:"lastUsed"` // zero if never
 }
 
-// CachedAt tells where an endpoint holds a checkpoint.
+// CachedAt reports where an endpoint caches a checkpoint.
 type CachedAt struct {
 	Target ident.Target `json:"target"`
 	Source Source       `json:"source"`
 }
 
-// Report is what an agent tells of its endpoint. Cached lists only what
-// changed since the agent's last report, everything when Full is set.
+// Report is an agent's report of its endpoint. Cached lists the changes since
+// the agent's last report, or everything if Full is set.
 type Report struct {
 	Host        ident.HostID      `json:"host"`
 	Incarnation ident.Incarnation `json:"incarnation"`
@@ -67,15 +67,15 @@
 	Reason string       `json:"reason,omitempty"`
 }
 
-// Policy names a way of deciding. The baselines stay selectable so that every
-// figure can be measured against them again.
+// Policy names a placement policy. The baselines stay selectable so that every
+// measurement can be repeated against them.
 type Policy string
 
 // The policies.
 const (
-	PolicyHistory Policy = "history" // this package's own
-	PolicyFixed   Policy = "fixed"   // fixed keep-alive, loads first come first served
-	PolicyNever   Policy = "never"   // never unload for idleness, loads first come first served
+	PolicyHistory Policy = "history" // keep-alive, order and eviction from the history of use
+	PolicyFixed   Policy = "fixed"   // fixed keep-alive, loads in order of arrival
+	PolicyNever   Policy = "never"   // no unloading of idle replicas, loads in order of arrival
 )
 
 // Config tunes a Planner.
@@ -84,13 +84,13 @@
 	FixedKeepAlive  time.Duration
 	KeepAlive       keepalive.Tuning
 	StoreRate       float64 // loads per second that the weight store allows
-	StoreConcurrent int     // loads at once that the store serves at full speed
-	MemorySpeed     float64 // bytes per second, first estimate until loads were measured
+	StoreConcurrent int     // concurrent loads that the store serves at full speed
+	MemorySpeed     float64 // bytes per second; initial estimate, adjusted by measured loads
 	DiskSpeed       float64
 	RemoteSpeed     float64
-	DemandTTL       time.Duration // a demand not repeated for this long is dropped
-	RetryAfter      time.Duration // a target whose waiting requests were refused stays wanted this long
-	MinResidence    time.Duration // a replica is not evicted for another target before this age
+	DemandTTL       time.Duration // a demand that is not repeated within this time is dropped
+	RetryAfter      time.Duration // a target stays in demand this long after its last demand, in case its requests were refused
+	MinResidence    time.Duration // minimum age at which a replica may be evicted for another target
 	Prewarm         bool
 	PrewarmShare    float64
 }
