--- a/internal/core/ledger/ledger.go
+++ b/internal/core/ledger/ledger.go
@@ -9,7 +9,7 @@
 	"github.com/cassiapass/cassiapass/internal/core/ident"
 )
 
-// Phase is the state of one replica at the engine, as far as it is known.
+// Phase is the last known state of one replica at the engine.
 type Phase string
 
 // The phases.
@@ -17,12 +17,12 @@
 	Waiting   Phase = "waiting"   // granted, no order sent
 	Loading   Phase = "loading"   // load order sent
 	Loaded    Phase = "loaded"    // confirmed by the engine
-	Draining  Phase = "draining"  // takes no new work; work in progress goes on
+	Draining  Phase = "draining"  // accepts no new work; work in progress continues
 	Unloading Phase = "unloading" // unload order sent
-	Uncertain Phase = "uncertain" // an order ended without an answer; the engine will be asked
+	Uncertain Phase = "uncertain" // an order ended without an answer; the engine's list will settle it
 )
 
-// Grant is one decision of control for this endpoint.
+// Grant is a placement that control has decided for this endpoint.
 type Grant struct {
 	ID     ident.Index
 	Target ident.Target
@@ -31,26 +31,26 @@
 	Ready  bool // control counts it as loaded
 }
 
-// Held is what the engine reports to hold.
+// Held is a replica that the engine reports to hold.
 type Held struct {
 	Target  ident.Target
 	Bytes   int64
 	Loading bool
 }
 
-// OrderKind tells what an Order asks of the engine.
+// OrderKind is the kind of an Order.
 type OrderKind string
 
 // The orders.
 const (
 	OrderLoad   OrderKind = "load"
 	OrderUnload OrderKind = "unload"
-	OrderList   OrderKind = "list" // ask what the engine holds
+	OrderList   OrderKind = "list" // list what the engine holds
 )
 
-// Order is one instruction to the engine. Fence is its fencing number: an
-// engine that honours fencing refuses an order whose number is below the
-// highest floor it was given.
+// Order is an instruction to the engine. Fence is its fencing token: an engine
+// that honours fencing refuses an order whose token is below the highest floor
+// that it has received.
 type Order struct {
 	Kind   OrderKind
 	ID     ident.Index
@@ -59,75 +59,75 @@
 	Fence  ident.Index
 }
 
-// Outcome is how an order ended.
+// Outcome is the outcome of an order.
 type Outcome string
 
 // The outcomes of orders.
 const (
 	Done    Outcome = "done"    // the engine confirmed it
-	Refused Outcome = "refused" // the engine confirmed that nothing happened
+	Refused Outcome = "refused" // the engine confirmed that it did nothing
 	Lost    Outcome = "lost"    // no answer
 )
 
-// Event is what control has to be told.
+// Event is a change to report to control.
 type Event struct {
 	ID     ident.Index
 	Target ident.Target
-	Ready  bool // loaded; otherwise gone
+	Ready  bool // loaded; otherwise removed
 	Reason string
-	Took   time.Duration // of the load
+	Took   time.Duration // duration of the load, if measured
 }
 
 // entry is one replica in the ledger.
 type entry struct {
 	Grant
-	phase   Phase
-	since   time.Time
-	decided bool // control's decision stands; otherwise the replica is only unloaded
-	told    bool // control was told of the present phase
+	phase    Phase
+	since    time.Time
+	decided  bool // control's grant is in force; otherwise the replica may only be unloaded
+	reported bool // control has received the present phase
 }
 
-// Config tells a Ledger about its endpoint.
+// Config describes the endpoint of a Ledger.
 type Config struct {
 	Memory       int64
 	HonoursFence bool
-	LongestOrder time.Duration // no order takes effect later than this after it was sent
-	AskEvery     time.Duration // interval between questions while something is uncertain
+	LongestOrder time.Duration // maximum time between sending an order and its effect at the engine
+	AskEvery     time.Duration // minimum interval between list orders
 }
 
-// Ledger is the account of one endpoint. It is not safe for concurrent use.
+// Ledger is the memory account of one endpoint. It is not safe for concurrent use.
 type Ledger struct {
 	cfg        Config
 	entries    map[ident.Index]*entry
-	floor      ident.Index // fencing floor: index of this incarnation's registration
-	synced     bool        // the engine's report was taken in
-	quarantine time.Time   // until then orders of an earlier process may take effect
-	asked      time.Time
-	doubt      bool        // the engine should be asked
-	foreign    ident.Index // counts down ids for replicas that no decision names
+	floor      ident.Index // fencing floor: log index of this incarnation's registration
+	synced     bool        // Sync was called
+	quarantine time.Time   // until then, orders of an earlier process may take effect
+	listedAt   time.Time
+	needsList  bool        // a list is needed even if no replica is uncertain
+	foreignID  ident.Index // last id assigned, counting down, to a replica without a grant
 	peak       int64
 }
 
-// New returns the ledger of a process that has just started. Nothing is loaded
-// before Registered and Sync were called.
+// New returns the ledger of a process that has just started. It orders no load
+// before Registered and Sync have been called.
 func New(cfg Config, now time.Time) *Ledger {
-	return &Ledger{cfg: cfg, entries: map[ident.Index]*entry{}, quarantine: now.Add(cfg.LongestOrder), foreign: ^ident.Index(0)}
+	return &Ledger{cfg: cfg, entries: map[ident.Index]*entry{}, quarantine: now.Add(cfg.LongestOrder), foreignID: ^ident.Index(0)}
 }
 
 // Registered records the log index of this incarnation's registration. Orders
-// of earlier incarnations carry lower numbers; an engine that honours fencing
-// refuses them from the moment it has the new floor, so only with other
-// engines must their longest order be waited out.
+// of earlier incarnations carry lower tokens. An engine that honours fencing
+// refuses them once it has the new floor; with any other engine, the ledger
+// waits for LongestOrder.
 func (l *Ledger) Registered(floor ident.Index) { l.floor = max(l.floor, floor) }
 
-// FloorSet tells that the engine confirmed the floor.
+// FloorSet records that the engine has confirmed the floor.
 func (l *Ledger) FloorSet(now time.Time) {
 	if l.cfg.HonoursFence {
 		l.quarantine = now
 	}
 }
 
-// Used returns the bytes that count, those of uncertain state included.
+// Used returns the bytes in use, including replicas in an uncertain state.
 func (l *Ledger) Used() int64 {
 	sum := int64(0)
 	for _, e := range l.entries {
@@ -138,10 +138,10 @@
 	return sum
 }
 
-// Peak returns the largest Used so far.
+// Peak returns the maximum of Used at any load order so far.
 func (l *Ledger) Peak() int64 { return l.peak }
 
-// Decide takes in a grant or a change of it.
+// Decide applies a new or changed grant.
 func (l *Ledger) Decide(now time.Time, g Grant) {
 	e := l.entries[g.ID]
 	if e == nil {
@@ -156,9 +156,9 @@
 	}
 }
 
-// adopt makes an entry for a grant. What the engine holds of this target under
-// no decision becomes this grant's: after a restart that is how replicas find
-// their decisions again.
+// adopt creates the entry of a grant. A replica of the same target that the
+// engine holds without a grant is assigned to it: this is how replicas are
+// matched to their grants after a restart.
 func (l *Ledger) adopt(now time.Time, g Grant) *entry {
 	e := &entry{Grant: g, phase: Waiting, since: now}
 	for id, f := range l.entries {
@@ -172,7 +172,7 @@
 	return e
 }
 
-// Forget ends a decision. Its memory still counts until it is unloaded.
+// Forget ends a grant. The replica's memory counts until it is unloaded.
 func (l *Ledger) Forget(now time.Time, id ident.Index) {
 	e := l.entries[id]
 	if e == nil {
@@ -190,16 +190,17 @@
 }
 
 func (e *entry) set(p Phase, now time.Time) {
-	e.phase, e.since, e.told = p, now, false
+	e.phase, e.since, e.reported = p, now, false
 }
 
-// Suspect has the engine asked again.
-func (l *Ledger) Suspect() { l.doubt = true }
+// Suspect makes Orders request the engine's list again.
+func (l *Ledger) Suspect() { l.needsList = true }
 
-// Sync takes in what the engine held when it was asked. Loaded or loading targets that no
-// decision names count at once and are unloaded; uncertain ones are settled.
+// Sync applies the engine's list of replicas, requested at the time asked. Replicas
+// without a grant count at once and are unloaded; entries in an uncertain state
+// are settled.
 func (l *Ledger) Sync(now, asked time.Time, held []Held) []Event {
-	l.synced, l.doubt = true, false
+	l.synced, l.needsList = true, false
 	byTarget := map[ident.Target]Held{}
 	for _, h := range held {
 		byTarget[h.Target] = h
@@ -207,71 +208,76 @@
 	var events []Event
 	for _, id := range l.ids() {
 		e := l.entries[id]
-		h, there := byTarget[e.Target]
+		h, present := byTarget[e.Target]
 		delete(byTarget, e.Target)
-		// What changed while the answer was on its way is not judged by it.
-		// A grant without an order is: whatever the engine holds of it counts
-		// from now on, or a load could be given memory that is taken.
+		// The list is not applied to an entry that changed after it was
+		// requested, except to a grant without an order: what the engine
+		// holds of it must count from now on, or a load could be assigned
+		// memory that is in use.
 		if e.phase != Waiting && !e.since.Before(asked) {
 			continue
 		}
-		events = append(events, l.settle(now, e, h, there)...)
+		events = append(events, l.reconcile(now, e, h, present)...)
 	}
 	for _, h := range held {
-		if _, left := byTarget[h.Target]; left {
+		if _, unmatched := byTarget[h.Target]; unmatched {
 			l.addForeign(now, h)
 		}
 	}
 	return events
 }
 
-// settle compares one entry with the engine's report.
-func (l *Ledger) settle(now time.Time, e *entry, h Held, there bool) []Event {
+// reconcile updates one entry from the engine's list.
+func (l *Ledger) reconcile(now time.Time, e *entry, h Held, present bool) []Event {
 	switch {
-	case there && !h.Loading && (e.phase == Uncertain || e.phase == Waiting):
-		// A record may state another size than the one that was loaded.
+	case present && !h.Loading && (e.phase == Uncertain || e.phase == Waiting):
+		// A revised record may state another size than the one loaded.
 		e.Bytes = max(e.Bytes, h.Bytes)
 		e.set(Loaded, now)
 		if e.Drain {
 			e.set(Draining, now)
 		}
-		return l.announce(e, 0)
-	case there && h.Loading && e.phase == Waiting:
+		return l.reportLoaded(e, 0)
+	case present && h.Loading && e.phase == Waiting:
 		e.set(Uncertain, now)
-	// An order without an answer may still be on its way to the engine, also
-	// to one that honours fencing: its number is not old. It is waited out.
-	case !there && e.phase == Uncertain && !now.Before(l.quarantine) && now.Sub(e.since) >= l.cfg.LongestOrder:
-		return l.gone(e, "the engine does not hold it")
-	case !there && (e.phase == Loaded || e.phase == Draining):
-		return l.gone(e, "the engine lost it")
-	case !there && e.phase == Waiting && e.Ready:
+	// An order without an answer may still reach the engine. Fencing does not
+	// stop it, since its token is current, so LongestOrder must pass first.
+	case !present && e.phase == Uncertain && !now.Before(l.quarantine) && now.Sub(e.since) >= l.cfg.LongestOrder:
+		return l.remove(e, "the engine does not hold it")
+	case !present && (e.phase == Loaded || e.phase == Draining):
+		return l.remove(e, "the engine lost it")
+	case !present && e.phase == Waiting && e.Ready:
 		if now.Before(l.quarantine) {
 			return nil
 		}
-		return l.gone(e, "lost at a restart")
+		return l.remove(e, "lost at a restart")
 	}
 	return nil
 }
 
+// addForeign adds a replica that the engine holds without a grant. It is drained
+// and then unloaded.
 func (l *Ledger) addForeign(now time.Time, h Held) {
-	l.foreign--
+	l.foreignID--
 	phase := Draining
 	if h.Loading {
 		phase = Uncertain
 	}
-	l.entries[l.foreign] = &entry{Grant: Grant{ID: l.foreign, Target: h.Target, Bytes: h.Bytes, Drain: true}, phase: phase, since: now}
+	l.entries[l.foreignID] = &entry{Grant: Grant{ID: l.foreignID, Target: h.Target, Bytes: h.Bytes, Drain: true}, phase: phase, since: now}
 }
 
-// announce tells control that a replica is loaded, once.
-func (l *Ledger) announce(e *entry, took time.Duration) []Event {
-	if !e.decided || e.told {
+// reportLoaded returns the event that a replica is loaded, once per load.
+func (l *Ledger) reportLoaded(e *entry, took time.Duration) []Event {
+	if !e.decided || e.reported {
 		return nil
 	}
-	e.told = true
+	e.reported = true
 	return []Event{{ID: e.ID, Target: e.Target, Ready: true, Reason: "loaded", Took: took}}
 }
 
-func (l *Ledger) gone(e *entry, reason string) []Event {
+// remove deletes an entry and returns the event for control, if its grant is in
+// force.
+func (l *Ledger) remove(e *entry, reason string) []Event {
 	delete(l.entries, e.ID)
 	if !e.decided {
 		return nil
@@ -279,14 +285,14 @@
 	return []Event{{ID: e.ID, Target: e.Target, Reason: reason}}
 }
 
-// Orders returns the orders that the engine shall get now. running tells how
-// many requests a replica serves; a draining replica is unloaded at zero.
+// Orders returns the orders to send to the engine now. running returns the number
+// of requests that a replica serves; a draining replica is unloaded at zero.
 func (l *Ledger) Orders(now time.Time, running func(ident.Index) int) []Order {
 	if l.floor == 0 {
 		return nil
 	}
 	if !l.synced {
-		return l.ask(now)
+		return l.listOrder(now)
 	}
 	var out []Order
 	for _, id := range l.ids() {
@@ -294,7 +300,7 @@
 		switch e.phase {
 		case Waiting:
 			if e.Ready {
-				out = append(out, l.ask(now)...) // loaded before a restart: is it still?
+				out = append(out, l.listOrder(now)...) // loaded before a restart; the list shows whether it still is
 				continue
 			}
 			out = append(out, l.load(now, e)...)
@@ -304,15 +310,17 @@
 				out = append(out, l.order(OrderUnload, e))
 			}
 		case Uncertain:
-			out = append(out, l.ask(now)...)
+			out = append(out, l.listOrder(now)...)
 		}
 	}
-	if now.Before(l.quarantine) || l.doubt {
-		out = append(out, l.ask(now)...)
+	if now.Before(l.quarantine) || l.needsList {
+		out = append(out, l.listOrder(now)...)
 	}
 	return out
 }
 
+// order returns an order for e. Its fencing token is at least the floor, since the
+// engine would refuse a lower one.
 func (l *Ledger) order(k OrderKind, e *entry) Order {
 	fence := e.ID
 	if !e.decided || fence < l.floor {
@@ -321,12 +329,12 @@
 	return Order{Kind: k, ID: e.ID, Target: e.Target, Bytes: e.Bytes, Fence: fence}
 }
 
-// ask returns a list order, at most one per interval.
-func (l *Ledger) ask(now time.Time) []Order {
-	if !l.asked.IsZero() && now.Sub(l.asked) < l.cfg.AskEvery {
+// listOrder returns a list order, at most one per interval of the configuration.
+func (l *Ledger) listOrder(now time.Time) []Order {
+	if !l.listedAt.IsZero() && now.Sub(l.listedAt) < l.cfg.AskEvery {
 		return nil
 	}
-	l.asked = now
+	l.listedAt = now
 	return []Order{{Kind: OrderList, Fence: l.floor}}
 }
 
@@ -336,8 +344,8 @@
 	if e.Drain {
 		return nil
 	}
-	// Until the quarantine ends, free memory may still be taken by an order of
-	// the process before this one; a grant given now could overcommit it.
+	// Until the quarantine ends, an order of the previous process may still
+	// occupy memory that looks free; a load now could overcommit it.
 	if now.Before(l.quarantine) || !l.baseLoaded(e) || l.Used()+e.Bytes > l.cfg.Memory {
 		return nil
 	}
@@ -347,6 +355,8 @@
 	return []Order{l.order(OrderLoad, e)}
 }
 
+// baseLoaded reports whether the base model of an adapter is loaded. It is true
+// for a base model.
 func (l *Ledger) baseLoaded(e *entry) bool {
 	if !e.Target.IsAdapter() {
 		return true
@@ -359,8 +369,8 @@
 	return false
 }
 
-// hasDependents reports whether an adapter still sits on a base model: it is
-// pinned under them.
+// hasDependents reports whether an adapter depends on a base model, which then
+// must not be unloaded.
 func (l *Ledger) hasDependents(e *entry) bool {
 	if e.Target.IsAdapter() {
 		return false
@@ -373,7 +383,7 @@
 	return false
 }
 
-// Finished takes in how an order ended.
+// Finished applies the outcome of an order and returns the events for control.
 func (l *Ledger) Finished(now time.Time, o Order, out Outcome) []Event {
 	e := l.entries[o.ID]
 	if e == nil {
@@ -383,35 +393,35 @@
 	case o.Kind == OrderLoad && out == Done && e.phase == Loading:
 		took := now.Sub(e.since)
 		e.set(Loaded, now)
-		ev := l.announce(e, took)
+		ev := l.reportLoaded(e, took)
 		if e.Drain {
 			e.set(Draining, now)
 		}
 		return ev
 	case o.Kind == OrderLoad && out == Refused && e.phase == Loading:
-		return l.gone(e, "the engine refused the load")
+		return l.remove(e, "the engine refused the load")
 	case o.Kind == OrderUnload && out == Done && e.phase == Unloading:
-		return l.gone(e, "unloaded")
+		return l.remove(e, "unloaded")
 	case out == Lost || out == Refused:
 		e.set(Uncertain, now)
 	}
 	return nil
 }
 
-// Withdraw gives up waiting grants that are to be drained: nothing was ordered,
-// so they are gone at once.
+// Withdraw removes waiting grants that are to be drained. No order was sent for
+// them, so nothing has to be unloaded.
 func (l *Ledger) Withdraw(now time.Time) []Event {
 	var events []Event
 	for _, id := range l.ids() {
 		e := l.entries[id]
 		if e.phase == Waiting && e.Drain && l.synced && !now.Before(l.quarantine) {
-			events = append(events, l.gone(e, "drained before it was loaded")...)
+			events = append(events, l.remove(e, "drained before it was loaded")...)
 		}
 	}
 	return events
 }
 
-// Serving returns the id of the loaded replica of a target that takes work.
+// Serving returns the id of a loaded replica of t that accepts work.
 func (l *Ledger) Serving(t ident.Target) (ident.Index, bool) {
 	for _, e := range l.entries {
 		if e.Target == t && e.phase == Loaded && e.decided && !e.Drain {
@@ -421,7 +431,7 @@
 	return 0, false
 }
 
-// Line is one replica as shown to operators.
+// Line is the account of one replica, for operators.
 type Line struct {
 	ID     ident.Index  `json:"id"`
 	Target ident.Target `json:"target"`
@@ -429,7 +439,7 @@
 	Bytes  int64        `json:"bytes"`
 }
 
-// Lines returns the account ordered by id.
+// Lines returns the account, ordered by id.
 func (l *Ledger) Lines() []Line {
 	var out []Line
 	for _, id := range l.ids() {
@@ -448,7 +458,7 @@
 	return ids
 }
 
-// check asserts at every load order that everything that counts fits.
+// check panics if the memory in use exceeds that of the endpoint.
 func (l *Ledger) check() {
 	if used := l.Used(); used > l.cfg.Memory {
 		panic(fmt.Sprintf("invariant: ledger: %d bytes given out of %d", used, l.cfg.Memory))
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -15,10 +15,10 @@
 
 func target(i int) ident.Target { return ident.Target{Model: fmt.Sprint("m", i), Version: "1"} }
 
-func none(ident.Index) int { return 0 }
+func noneRunning(ident.Index) int { return 0 }
 
-// ready returns a ledger that is registered and knows that the engine is empty.
-func ready(memory int64, honours bool) (*Ledger, time.Time) {
+// newSynced returns a ledger that is registered and synced with an empty engine.
+func newSynced(memory int64, honours bool) (*Ledger, time.Time) {
 	l := New(Config{Memory: memory, HonoursFence: honours, LongestOrder: time.Minute, AskEvery: time.Second}, start)
 	l.Registered(5)
 	l.FloorSet(start)
@@ -28,32 +28,31 @@
 
 func TestLoadIsReservedBeforeItIsOrdered(t *testing.T) {
 	is := is.New(t)
-	l, now := ready(100, true)
+	l, now := newSynced(100, true)
 	l.Decide(now, Grant{ID: 10, Target: target(1), Bytes: 60})
 	l.Decide(now, Grant{ID: 11, Target: target(2), Bytes: 60})
-	os := l.Orders(now, none)
+	os := l.Orders(now, noneRunning)
 	is.Equal(len(os), 1) // the second does not fit
 	is.Equal(os[0].Fence, ident.Index(10))
 	is.Equal(l.Used(), int64(60))
 	ev := l.Finished(now, os[0], Done)
 	is.True(ev[0].Ready)
-	is.Equal(len(l.Orders(now, none)), 0)
+	is.Equal(len(l.Orders(now, noneRunning)), 0)
 }
 
-// Symptom: two orders fill the same memory.
-// Sequence: the agent restarts; the engine ignores fencing; the old process's
-// load takes effect after the new one has asked what is held.
-// Cause: an order on its way shows in no report.
+// Guards against two orders filling the same memory: the agent restarts, the
+// engine ignores fencing, and a load of the old process takes effect after the
+// new one has listed the engine. The list does not show orders in flight.
 func TestNewProcessWaitsOutOldOrdersWhenTheEngineIgnoresFencing(t *testing.T) {
 	is := is.New(t)
-	l, now := ready(100, false)
+	l, now := newSynced(100, false)
 	l.Decide(now, Grant{ID: 10, Target: target(1), Bytes: 60})
-	for _, o := range l.Orders(now, none) {
+	for _, o := range l.Orders(now, noneRunning) {
 		is.Equal(o.Kind, OrderList)
 	}
 	later := now.Add(time.Minute)
 	loads := 0
-	for _, o := range l.Orders(later, none) {
+	for _, o := range l.Orders(later, noneRunning) {
 		if o.Kind == OrderLoad {
 			loads++
 		}
@@ -61,14 +60,14 @@
 	is.Equal(loads, 1)
 }
 
-// Symptom: a slot is decided again while its load may still finish.
-// Sequence: the answer to a load order is lost.
-// Cause: lost is not failed; the bytes count until the engine was asked.
-func TestLostOrderCountsUntilItIsSettled(t *testing.T) {
+// Guards against assigning memory again while a load may still finish. An order
+// whose answer is lost may have succeeded, so its bytes count until the engine
+// has been listed.
+func TestLostOrderCountsUntilTheEngineIsListed(t *testing.T) {
 	is := is.New(t)
-	l, now := ready(100, true)
+	l, now := newSynced(100, true)
 	l.Decide(now, Grant{ID: 10, Target: target(1), Bytes: 60})
-	o := l.Orders(now, none)[0]
+	o := l.Orders(now, noneRunning)[0]
 	l.Finished(now, o, Lost)
 	is.Equal(l.Used(), int64(60))
 	later := now.Add(2 * time.Second)
@@ -79,37 +78,37 @@
 
 func TestBaseModelIsPinnedUnderItsAdapter(t *testing.T) {
 	is := is.New(t)
-	l, now := ready(100, true)
+	l, now := newSynced(100, true)
 	base := target(1)
 	adapter := base
 	adapter.Adapter, adapter.AdapterVersion = "a", "1"
 	l.Decide(now, Grant{ID: 10, Target: base, Bytes: 50})
 	l.Decide(now, Grant{ID: 11, Target: adapter, Bytes: 10})
-	os := l.Orders(now, none)
+	os := l.Orders(now, noneRunning)
 	is.Equal(len(os), 1) // the base first
 	l.Finished(now, os[0], Done)
-	os = l.Orders(now, none)
+	os = l.Orders(now, noneRunning)
 	l.Finished(now, os[0], Done)
 	l.Decide(now, Grant{ID: 10, Target: base, Bytes: 50, Drain: true})
-	is.Equal(len(l.Orders(now, none)), 0) // pinned
+	is.Equal(len(l.Orders(now, noneRunning)), 0) // still used by its adapter
 	l.Decide(now, Grant{ID: 11, Target: adapter, Bytes: 10, Drain: true})
-	os = l.Orders(now, none)
+	os = l.Orders(now, noneRunning)
 	is.Equal(os[0].Target, adapter)
 	l.Finished(now, os[0], Done)
-	is.Equal(l.Orders(now, none)[0].Target, base)
+	is.Equal(l.Orders(now, noneRunning)[0].Target, base)
 }
 
-// Symptom: memory is overcommitted, or memory is lost for ever.
-// Sequence: seeded random grants, drains, ends of decisions, lost and refused
-// orders, restarts of the agent, against an engine with its own account.
-// Cause looked for: any way in which the account and the engine drift apart.
+// Looks for any divergence of the ledger from the engine, which would overcommit
+// memory or leak it permanently. Seeded random grants, drains, ends of grants,
+// lost and refused orders and agent restarts run against an engine that keeps its
+// own account.
 func TestRandomOrdersKeepWithinMemory(t *testing.T) {
 	for seed := range 300 {
 		randomRun(t, uint64(seed), seed%2 == 0)
 	}
 }
 
-func decided(grants map[ident.Index]Grant, t ident.Target) bool {
+func granted(grants map[ident.Index]Grant, t ident.Target) bool {
 	for _, g := range grants {
 		if g.Target == t {
 			return true
@@ -130,11 +129,11 @@
 	l.FloorSet(now)
 	engine := map[ident.Target]int64{}
 	grants := map[ident.Index]Grant{}
-	type late struct {
+	type delayed struct {
 		at    time.Time
 		order Order
 	}
-	var under []late // orders whose effect at the engine is still to come
+	var inFlight []delayed // orders that have not yet taken effect at the engine
 	effect := func(o Order) {
 		if honours && o.Fence < floor {
 			return
@@ -144,7 +143,7 @@
 			return
 		}
 		if _, loaded := engine[o.Target]; loaded {
-			return // engines take a second load of the same target as done
+			return // engines confirm a second load of the same target without loading it
 		}
 		engine[o.Target] = o.Bytes
 		sum := int64(0)
@@ -155,7 +154,7 @@
 			t.Fatalf("seed %d: the engine holds %d of %d", seed, sum, memory)
 		}
 	}
-	tell := func(events []Event) {
+	deliver := func(events []Event) {
 		for _, e := range events {
 			if !e.Ready {
 				delete(grants, e.ID)
@@ -168,21 +167,21 @@
 	}
 	for range 400 {
 		now = now.Add(time.Duration(r.IntN(1500)) * time.Millisecond)
-		kept := under[:0]
-		for _, u := range under {
+		remaining := inFlight[:0]
+		for _, u := range inFlight {
 			if now.Before(u.at) {
-				kept = append(kept, u)
+				remaining = append(remaining, u)
 				continue
 			}
 			effect(u.order)
 		}
-		under = kept
+		inFlight = remaining
 		switch r.IntN(12) {
 		case 0, 1, 2:
 			g := Grant{ID: next, Target: target(r.IntN(6)), Bytes: int64(10 + r.IntN(60))}
 			next++
-			if decided(grants, g.Target) {
-				break // control decides a target once per endpoint
+			if granted(grants, g.Target) {
+				break // control grants a target once per endpoint
 			}
 			grants[g.ID] = g
 			l.Decide(now, g)
@@ -194,7 +193,7 @@
 				break
 			}
 		case 5:
-			// The agent restarts and learns its grants anew.
+			// The agent restarts and receives its grants again.
 			l = New(cfg, now)
 			floor = next
 			next++
@@ -204,26 +203,26 @@
 				l.Decide(now, g)
 			}
 		}
-		for _, o := range l.Orders(now, none) {
+		for _, o := range l.Orders(now, noneRunning) {
 			if o.Kind == OrderList {
 				var held []Held
 				for tg, b := range engine {
 					held = append(held, Held{Target: tg, Bytes: b})
 				}
-				tell(l.Sync(now, now, held))
+				deliver(l.Sync(now, now, held))
 				continue
 			}
 			switch r.IntN(6) {
 			case 0:
-				tell(l.Finished(now, o, Refused))
+				deliver(l.Finished(now, o, Refused))
 			case 1:
-				under = append(under, late{now.Add(time.Duration(r.IntN(15)) * time.Second), o})
-				tell(l.Finished(now, o, Lost))
+				inFlight = append(inFlight, delayed{now.Add(time.Duration(r.IntN(15)) * time.Second), o})
+				deliver(l.Finished(now, o, Lost))
 			default:
 				effect(o)
-				tell(l.Finished(now, o, Done))
+				deliver(l.Finished(now, o, Done))
 			}
 		}
-		tell(l.Withdraw(now))
+		deliver(l.Withdraw(now))
 	}
 }
