--- a/internal/core/stream/stream.go
+++ b/internal/core/stream/stream.go
@@ -1,15 +1,15 @@
-// Package stream holds the two ends of an answer on its way from an agent to
-// an entry: a send buffer that keeps what the other end has not confirmed, and
-// a receiver that takes every byte once and in order.
+// Package stream implements both ends of an answer streamed from an agent to an
+// entry: a send buffer that holds all bytes not yet acknowledged, and a receiver
+// that accepts every byte once and in order.
 //
-// Together they let an answer go on over a new connection after the old one
-// went silent, without losing, repeating or crossing a byte, and they bound the
-// memory that a slow reader can hold.
+// Together they let an answer resume over a new connection after the old one has
+// become silent, without losing, duplicating or mixing up bytes, and they limit
+// the memory that a slow reader can occupy.
 package stream
 
 import "errors"
 
-// Sender buffers an answer from the first unconfirmed byte on.
+// Sender buffers an answer from its first unacknowledged byte on.
 type Sender struct {
 	base   int64 // offset of buf[0]
 	buf    []byte
@@ -17,15 +17,15 @@
 	done   bool
 }
 
-// NewSender returns a Sender that holds at most window unconfirmed bytes.
+// NewSender returns a Sender that holds at most window unacknowledged bytes.
 func NewSender(window int) *Sender { return &Sender{window: window} }
 
-// Room returns how many bytes may be written now. The producer stops reading
-// its source at zero, so a slow reader slows the source instead of filling
-// memory.
+// Room returns the number of bytes that may be written now. At zero, the producer
+// stops reading its source, so a slow reader slows the source down instead of
+// filling memory.
 func (s *Sender) Room() int { return max(0, s.window-len(s.buf)) }
 
-// Write appends bytes; the caller has checked Room.
+// Write appends p. The caller must not exceed the free part of the window.
 func (s *Sender) Write(p []byte) { s.buf = append(s.buf, p...) }
 
 // End returns the offset after the last byte written.
@@ -37,7 +37,7 @@
 // Done reports whether the answer is complete.
 func (s *Sender) Done() bool { return s.done }
 
-// Ack drops the bytes below offset, which the reader holds.
+// Ack drops the bytes before offset, which the receiver has acknowledged.
 func (s *Sender) Ack(offset int64) {
 	n := min(offset, s.End()) - s.base
 	if n <= 0 {
@@ -49,7 +49,7 @@
 }
 
 // From returns a copy of at most limit bytes from offset on. The second result
-// is false if they are no longer held.
+// is false if offset is outside the bytes held.
 func (s *Sender) From(offset int64, limit int) ([]byte, bool) {
 	if offset < s.base || offset > s.End() {
 		return nil, false
@@ -58,20 +58,21 @@
 	return append([]byte(nil), part[:min(len(part), limit)]...), true
 }
 
-// Receiver checks arriving parts.
+// Receiver checks the offsets of arriving parts.
 type Receiver struct {
 	next int64
 }
 
-// ErrGap tells that a part does not follow what was received: some bytes are
-// missing, and the answer must be resumed from Next.
+// ErrGap is returned for a part that starts after Next: bytes are missing, and the
+// answer must be resumed from Next.
 var ErrGap = errors.New("a part of the answer is missing")
 
 // Next returns the offset of the first byte not yet received.
 func (r *Receiver) Next() int64 { return r.next }
 
-// Accept returns the new bytes of a part that starts at offset: everything, the
-// tail of a part that was partly received before, or nothing for a duplicate.
+// Accept returns the new bytes of a part that starts at offset: all of it, the tail
+// if it was partly received before, or nothing if it is a duplicate. It returns
+// ErrGap if bytes before offset are missing.
 func (r *Receiver) Accept(offset int64, p []byte) ([]byte, error) {
 	if offset > r.next {
 		return nil, ErrGap
@@ -84,5 +85,5 @@
 	return p[skip:], nil
 }
 
-// Whole reports whether an answer of the given total length was received.
+// Whole reports whether the whole of an answer with the given length was received.
 func (r *Receiver) Whole(total int64) bool { return r.next == total }
--- a/internal/core/stream/stream_test.go
+++ b/internal/core/stream/stream_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: an answer has bytes missing, twice or from another place.
-// Sequence: parts are lost, repeated, cut and sent anew from any offset.
-// Cause looked for: any way past the offset check.
+// Guards against answers with missing, duplicate or misplaced bytes: parts are
+// lost, repeated, truncated and resent from any offset, and none may pass the
+// offset check wrongly.
 func TestEveryByteArrivesOnceAndInOrder(t *testing.T) {
 	for seed := range 300 {
 		r := rand.New(rand.NewPCG(uint64(seed), 4))
@@ -37,7 +37,7 @@
 			offset := sent
 			sent += int64(len(part))
 			switch r.IntN(5) {
-			case 0: // lost; what follows is a gap
+			case 0: // lost, so the next part leaves a gap
 			default:
 				fresh, err := recv.Accept(offset, part)
 				if errors.Is(err, ErrGap) {
