--- a/internal/core/bound/bound_test.go
+++ b/internal/core/bound/bound_test.go
@@ -11,30 +11,30 @@
 	"github.com/matryer/is"
 )
 
-// stay is a time in which an engine holds a model ready.
-type stay struct{ from, to time.Duration }
+// residence is an interval in which an engine holds a model ready.
+type residence struct{ from, to time.Duration }
 
-// engine is one of a schedule's engines.
+// engine is an engine of a schedule.
 type engine struct {
-	now   time.Duration // when its newest load has ended
-	room  int64
-	holds map[int]time.Duration // model to since when
+	now   time.Duration // end of its newest load
+	free  int64
+	holds map[int]time.Duration // model to the end of its load
 }
 
-// schedule lets engines load and unload in a way that respects every limit, with the
-// demand known ahead, and returns what that earns.
+// schedule draws a schedule of loads and unloads that respects every constraint, with all
+// demand known in advance, and returns what it earns.
 func schedule(p Problem, r *rand.Rand) float64 {
-	stays := make([][]stay, len(p.Models))
-	loaded := map[int]time.Duration{} // model to when its first load had ended
-	gone := map[int]time.Duration{}   // model to when it was last unloaded
+	residences := make([][]residence, len(p.Models))
+	loadedAt := map[int]time.Duration{}   // model to the end of its first load
+	unloadedAt := map[int]time.Duration{} // model to its last unload
 	var engines []*engine
 	for range p.Engines {
-		engines = append(engines, &engine{now: p.Begin, room: p.Megabytes, holds: map[int]time.Duration{}})
+		engines = append(engines, &engine{now: p.Begin, free: p.Megabytes, holds: map[int]time.Duration{}})
 	}
 	for i, m := range p.Models {
 		if e := engines[i%p.Engines]; m.Held {
 			e.holds[i] = p.Begin
-			e.room -= m.Megabytes
+			e.free -= m.Megabytes
 		}
 	}
 	for {
@@ -42,53 +42,54 @@
 		if e.now >= p.End {
 			break
 		}
-		i := wanted(p, e.now, r)
-		if _, has := e.holds[i]; has || p.OnDemand && !asks(p.Models[i], e.now, gone[i], engines, i) {
+		i := pickModel(p, e.now, r)
+		if _, has := e.holds[i]; has || p.OnDemand && !requestWaits(p.Models[i], e.now, unloadedAt[i], engines, i) {
 			e.now += time.Duration(1 + r.Int64N(int64(300*time.Millisecond)))
 			continue
 		}
 		for j, since := range e.holds {
-			if e.room >= p.Models[i].Megabytes {
+			if e.free >= p.Models[i].Megabytes {
 				break
 			}
-			stays[j] = append(stays[j], stay{since, e.now})
+			residences[j] = append(residences[j], residence{since, e.now})
 			delete(e.holds, j)
-			gone[j] = e.now
-			e.room += p.Models[j].Megabytes
+			unloadedAt[j] = e.now
+			e.free += p.Models[j].Megabytes
 			e.now += p.Unload
 		}
-		takes := p.Models[i].First
-		if at, known := loaded[i]; known && at <= e.now {
-			takes = p.Models[i].Again
+		loadTime := p.Models[i].First
+		if at, known := loadedAt[i]; known && at <= e.now {
+			loadTime = p.Models[i].Again
 		}
-		e.now += max(takes, time.Millisecond)
-		if at, known := loaded[i]; !known || e.now < at {
-			loaded[i] = e.now
+		e.now += max(loadTime, time.Millisecond)
+		if at, known := loadedAt[i]; !known || e.now < at {
+			loadedAt[i] = e.now
 		}
 		e.holds[i] = e.now
-		e.room -= p.Models[i].Megabytes
+		e.free -= p.Models[i].Megabytes
 	}
 	for _, e := range engines {
 		for i, since := range e.holds {
-			stays[i] = append(stays[i], stay{since, p.End})
+			residences[i] = append(residences[i], residence{since, p.End})
 		}
 	}
-	return earned(p, stays)
+	return earned(p, residences)
 }
 
-// asks reports whether a request for model i that came after it was gone waits for it.
-func asks(m Model, now, gone time.Duration, engines []*engine, i int) bool {
+// requestWaits reports whether a request for model i that arrived since its last unload waits
+// for it.
+func requestWaits(m Model, now, unloadedAt time.Duration, engines []*engine, i int) bool {
 	for _, e := range engines {
 		if _, has := e.holds[i]; has {
 			return false
 		}
 	}
-	return slices.ContainsFunc(m.Requests, func(q Request) bool { return q.From >= gone && q.From <= now && q.Late >= now })
+	return slices.ContainsFunc(m.Requests, func(q Request) bool { return q.From >= unloadedAt && q.From <= now && q.Late >= now })
 }
 
-// wanted draws one of the models that are asked for next.
-func wanted(p Problem, now time.Duration, r *rand.Rand) int {
-	best, worth := r.IntN(len(p.Models)), 0.0
+// pickModel draws one of the models that are requested next.
+func pickModel(p Problem, now time.Duration, r *rand.Rand) int {
+	best, bestValue := r.IntN(len(p.Models)), 0.0
 	for i, m := range p.Models {
 		sum := 0.0
 		for _, q := range m.Requests {
@@ -96,19 +97,19 @@
 				sum += q.Worth * r.Float64()
 			}
 		}
-		if sum > worth {
-			best, worth = i, sum
+		if sum > bestValue {
+			best, bestValue = i, sum
 		}
 	}
 	return best
 }
 
-func earned(p Problem, stays [][]stay) float64 {
+func earned(p Problem, residences [][]residence) float64 {
 	sum := 0.0
 	for i, m := range p.Models {
 		for _, q := range m.Requests {
 			held := func(until time.Duration) bool {
-				return slices.ContainsFunc(stays[i], func(s stay) bool {
+				return slices.ContainsFunc(residences[i], func(s residence) bool {
 					return s.from <= until && s.to > q.From && s.from < p.End && s.to >= max(s.from, q.From)+q.Runs
 				})
 			}
@@ -123,8 +124,8 @@
 	return sum
 }
 
-// drawn returns a problem with more demand than its engines can serve.
-func drawn(r *rand.Rand) Problem {
+// randomProblem returns a random problem with more demand than its engines can serve.
+func randomProblem(r *rand.Rand) Problem {
 	p := Problem{Engines: 1 + r.IntN(3), Megabytes: 100, End: 20 * time.Second, OnDemand: r.IntN(3) == 0, Unload: time.Duration(r.IntN(3)) * 100 * time.Millisecond}
 	for i := range 4 + r.IntN(12) {
 		m := Model{Name: fmt.Sprint(i), Megabytes: 10 + r.Int64N(80), Again: time.Duration(r.IntN(700)) * time.Millisecond}
@@ -143,14 +144,14 @@
 	return p
 }
 
-// Symptom: a policy is said to leave nothing to gain, or to earn more than can be.
-// Sequence: drawn problems; on each, engines that keep to every limit and know the demand.
-// Cause: a bound that is below what can be earned.
+// Guards against a bound below what can be earned, with which a policy would seem to leave
+// nothing to gain or to earn more than is possible. On each random problem, the test draws
+// schedules that respect every constraint and know the demand.
 func TestNoScheduleEarnsMoreThanTheBound(t *testing.T) {
-	near := 0.0
+	tightest := 0.0
 	for seed := range uint64(30) {
 		r := rand.New(rand.NewPCG(seed, 9))
-		p := drawn(r)
+		p := randomProblem(r)
 		best := 0.0
 		for range 30 {
 			best = max(best, schedule(p, r))
@@ -163,22 +164,22 @@
 			if best > res.Most+1e-9 || res.Most > res.Total+1e-9 {
 				t.Fatalf("seed %d, %+v: %.6f earned, at most %.6f of %.6f", seed, s, best, res.Most, res.Total)
 			}
-			near = max(near, best/res.Most)
+			tightest = max(tightest, best/res.Most)
 		}
 	}
-	t.Logf("a schedule came within %.3f of its bound", near)
+	t.Logf("a schedule came within %.3f of its bound", tightest)
 }
 
-// Models that fit an engine together must do so by each measure; otherwise the bound
-// would forbid what an engine can hold.
+// Models that fit into an engine together must do so by each measure; otherwise the bound
+// would exclude sets of models that an engine can hold.
 func TestWhatFitsAnEngineFitsByEachMeasure(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 9))
-	const capacity = 840 // whole parts of it are frequent
+	const capacity = 840 // has many divisors, so that (k+1)x is often an integer
 	for range 20000 {
 		var sums [measures]float64
-		most := 1 + r.Int64N(capacity)
+		maxSize := 1 + r.Int64N(capacity)
 		for left := int64(capacity); left > 0; {
-			size := min(left, 1+r.Int64N(most))
+			size := min(left, 1+r.Int64N(maxSize))
 			left -= size
 			for k := range measures {
 				sums[k] += measure(k, size, capacity)
@@ -192,8 +193,8 @@
 	}
 }
 
-// often returns requests for a model each 0.1 s, each of which needs it at once.
-func often(seconds int) []Request {
+// steadyRequests returns one request for a model each 0.1 s, each of which needs it at once.
+func steadyRequests(seconds int) []Request {
 	var out []Request
 	for i := range seconds * 10 {
 		at := time.Duration(i) * 100 * time.Millisecond
@@ -211,20 +212,20 @@
 	return r
 }
 
-func TestEverythingThatFitsIsEarned(t *testing.T) {
+func TestModelsThatFitEarnTheTotal(t *testing.T) {
 	is := is.New(t)
 	p := Problem{Engines: 1, Megabytes: 100, End: 20 * time.Second, Models: []Model{
-		{Name: "a", Megabytes: 50, Held: true, Requests: often(20)}, {Name: "b", Megabytes: 50, Held: true, Requests: often(20)},
+		{Name: "a", Megabytes: 50, Held: true, Requests: steadyRequests(20)}, {Name: "b", Megabytes: 50, Held: true, Requests: steadyRequests(20)},
 	}}
 	is.Equal(solve(t, p).Most, p.Total())
 }
 
-// Two models of 0.6 of an engine fit 1.67 times into one by size, and once in truth.
+// By size alone, models of 0.6 of an engine fit 1.67 times into it; in fact only one fits.
 func TestModelsOfMoreThanHalfAnEngineDoNotShareOne(t *testing.T) {
 	is := is.New(t)
 	p := Problem{Engines: 1, Megabytes: 100, End: 20 * time.Second, Unload: 200 * time.Millisecond, Models: []Model{
-		{Name: "a", Megabytes: 60, First: time.Second, Again: time.Second, Held: true, Requests: often(20)},
-		{Name: "b", Megabytes: 60, First: time.Second, Again: time.Second, Requests: often(20)},
+		{Name: "a", Megabytes: 60, First: time.Second, Again: time.Second, Held: true, Requests: steadyRequests(20)},
+		{Name: "b", Megabytes: 60, First: time.Second, Again: time.Second, Requests: steadyRequests(20)},
 	}}
 	r := solve(t, p)
 	is.True(r.Most >= p.Total()/2)
@@ -232,9 +233,9 @@
 	is.True(r.Memory > 0)
 }
 
-// One engine makes one load a second: of twenty models asked for after 5 s, at most five
-// are there, and one that ends within the same window.
-func TestLoadsComeOneAfterTheOther(t *testing.T) {
+// One engine completes one load a second: of twenty models requested at 5 s, at most five
+// are loaded, and one more whose load ends within the same window.
+func TestEngineCarriesOutOneLoadAtATime(t *testing.T) {
 	is := is.New(t)
 	p := Problem{Engines: 1, Megabytes: 1000, End: 10 * time.Second}
 	for i := range 20 {
@@ -247,16 +248,16 @@
 	is.True(r.Orders > r.Memory)
 }
 
-func TestWhatCannotBeLoadedInTimeEarnsOnlyLittle(t *testing.T) {
+func TestLateLoadEarnsOnlyTheLateValue(t *testing.T) {
 	is := is.New(t)
 	p := Problem{Engines: 1, Megabytes: 100, End: 20 * time.Second, Models: []Model{{Name: "a", Megabytes: 50, First: 5 * time.Second, Again: time.Second,
 		Requests: []Request{{From: time.Second, InTime: 3 * time.Second, Late: 8 * time.Second, Worth: 10, Little: 2}, {From: 0, InTime: time.Second, Late: 2 * time.Second, Worth: 10, Little: 2}}}}}
 	is.Equal(solve(t, p).Most, 2.0)
 }
 
-// Ten models, each asked for once and all in the same second, take a whole engine each for
-// the 5 s that they run: one engine serves one of them.
-func TestAModelStaysWhileItsRequestRuns(t *testing.T) {
+// Ten models, each requested once and all in the same second, each occupy a whole engine for
+// the 5 s that the request runs: one engine serves one of them.
+func TestModelStaysLoadedWhileItsRequestRuns(t *testing.T) {
 	is := is.New(t)
 	p := Problem{Engines: 1, Megabytes: 10, End: 8 * time.Second}
 	for i := range 10 {
@@ -277,11 +278,11 @@
 	is.Equal(solve(t, p).Most, 3.0)
 }
 
-func TestNonsenseIsRefused(t *testing.T) {
+func TestInvalidProblemsAreRefused(t *testing.T) {
 	is := is.New(t)
 	good := Problem{Engines: 1, Megabytes: 100, End: time.Second, Models: []Model{{Name: "a", Megabytes: 1, Requests: []Request{{Worth: 1}}}}}
 	is.NoErr(good.Check())
-	for _, spoil := range []func(*Problem){
+	for _, invalidate := range []func(*Problem){
 		func(p *Problem) { p.Engines = 0 },
 		func(p *Problem) { p.End = 0 },
 		func(p *Problem) { p.Models[0].Megabytes = 0 },
@@ -292,7 +293,7 @@
 		bad := good
 		bad.Models = []Model{good.Models[0]}
 		bad.Models[0].Requests = slices.Clone(good.Models[0].Requests)
-		spoil(&bad)
+		invalidate(&bad)
 		_, err := Solve(bad, 0, DefaultSettings())
 		is.True(errors.Is(err, ErrProblem))
 	}
--- a/internal/core/bound/prices.go
+++ b/internal/core/bound/prices.go
@@ -1,7 +1,7 @@
 package bound
 
-// prices are what is to be paid for a second of an engine's memory, by measure, and of its
-// order time, span by span. The same shape holds what is used, in seconds.
+// prices are the prices of a second of an engine's memory, by measure, and of a second of
+// its order time, in each span. The type also holds usage, in seconds.
 type prices struct {
 	memory [measures][]float64
 	orders []float64
@@ -15,7 +15,7 @@
 	return p
 }
 
-// rows returns all series, the orders last.
+// rows returns the series of all measures, followed by that of the orders.
 func (p *prices) rows() [][]float64 {
 	out := make([][]float64, 0, measures+1)
 	for _, r := range p.memory {
@@ -30,23 +30,23 @@
 	}
 }
 
-// worth returns what the whole of capacity costs, of which there is as much by each
-// measure.
-func (p *prices) worth(capacity []float64) (memory, orders float64) {
+// cost returns the price of all memory and of all order time. capacity is in seconds of
+// engines by span, and is the same for every measure.
+func (p *prices) cost(capacity []float64) (memory, orders float64) {
 	for _, r := range p.memory {
 		memory += dot(r, capacity)
 	}
 	return memory, dot(p.orders, capacity)
 }
 
-// descend moves prices against the subgradient, capacity less what was used, by step times
-// its square norm.
+// descend moves prices against the subgradient, which is capacity less usage, scaled by step
+// over the square of its norm. Prices stay at zero or above.
 func (p *prices) descend(capacity []float64, used *prices, step float64) {
 	var norm float64
 	rows, uses := p.rows(), used.rows()
 	for i, u := range uses {
 		for s := range u {
-			norm += free(rows[i][s], capacity[s]-u[s]) * free(rows[i][s], capacity[s]-u[s])
+			norm += project(rows[i][s], capacity[s]-u[s]) * project(rows[i][s], capacity[s]-u[s])
 		}
 	}
 	if norm == 0 {
@@ -59,9 +59,9 @@
 	}
 }
 
-// free returns a component of the subgradient, or 0 where the price is 0 already and would
-// go below.
-func free(price, g float64) float64 {
+// project returns a component of the subgradient, or 0 where the price is 0 and would become
+// negative.
+func project(price, g float64) float64 {
 	if price == 0 && g > 0 {
 		return 0
 	}
--- a/internal/core/bound/problem.go
+++ b/internal/core/bound/problem.go
@@ -6,43 +6,44 @@
 	"github.com/samber/oops"
 )
 
-// Problem is a load with the engines that serve it. Times count from any one origin.
+// Problem is a load with the engines that serve it. All times are relative to one origin.
 type Problem struct {
-	Engines   int           `json:"engines"`   // alike; as many at all times
-	Megabytes int64         `json:"megabytes"` // of weights that an engine holds
-	Begin     time.Duration `json:"begin"`     // engines may load from here on
-	End       time.Duration `json:"end"`       // nothing earns after it
-	Unload    time.Duration `json:"unload"`    // least time of an unload; 0 if models also go with their engines
-	// OnDemand bounds only policies that begin to load a model when a request that arrived
-	// since its last stay waits for it; otherwise models may be loaded before anyone asks.
+	Engines   int           `json:"engines"`   // number of identical engines, constant over time
+	Megabytes int64         `json:"megabytes"` // capacity of an engine for weights
+	Begin     time.Duration `json:"begin"`     // earliest time of a load
+	End       time.Duration `json:"end"`       // requests earn nothing after it
+	Unload    time.Duration `json:"unload"`    // minimum time of an unload; 0 if models are also lost with their engines
+	// OnDemand restricts the bound to policies that load a model only when a request that
+	// arrived since its last residence waits for it; otherwise models may be loaded before
+	// they are requested.
 	OnDemand bool    `json:"onDemand"`
 	Models   []Model `json:"models"`
 }
 
-// Model is one model and what asks for it.
+// Model is a model and the requests for it.
 type Model struct {
 	Name      string        `json:"name"`
 	Megabytes int64         `json:"megabytes"`
-	First     time.Duration `json:"first"` // least time of its first load
-	Again     time.Duration `json:"again"` // least time of a later one
-	Held      bool          `json:"held"`  // some engine holds it at the beginning
+	First     time.Duration `json:"first"` // minimum time of its first load
+	Again     time.Duration `json:"again"` // minimum time of a later load
+	Held      bool          `json:"held"`  // an engine holds it at Begin
 	Requests  []Request     `json:"requests"`
 }
 
 // Request is one request for a model.
 type Request struct {
-	From   time.Duration `json:"from"`   // when it arrives
-	InTime time.Duration `json:"inTime"` // when the model must be held at the latest for Worth
-	Late   time.Duration `json:"late"`   // and for Little
-	Runs   time.Duration `json:"runs"`   // least time for which its model then stays; 0 if it may be cut off
+	From   time.Duration `json:"from"`   // arrival
+	InTime time.Duration `json:"inTime"` // latest time at which the model must be held for the full value
+	Late   time.Duration `json:"late"`   // latest time at which the model must be held for the late value
+	Runs   time.Duration `json:"runs"`   // minimum time for which the model is then held; 0 if the request may be cut off
 	Worth  float64       `json:"worth"`
-	Little float64       `json:"little"` // worth of a late answer, no more than Worth
+	Little float64       `json:"little"` // value of a late answer, at most the full value
 }
 
-// ErrProblem marks a problem that makes no sense.
-var ErrProblem = oops.Errorf("not a problem to bound")
+// ErrProblem is the cause of errors for an invalid problem or invalid settings.
+var ErrProblem = oops.Errorf("invalid problem or settings")
 
-// Check returns what is wrong with a problem.
+// Check returns an error if the problem is invalid.
 func (p Problem) Check() error {
 	switch {
 	case p.Engines < 1 || p.Megabytes < 1:
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// Total returns what all requests would be worth in time.
+// Total returns the value of all requests if all are served in time.
 func (p Problem) Total() float64 {
 	var sum float64
 	for _, m := range p.Models {
--- a/internal/core/bound/solve.go
+++ b/internal/core/bound/solve.go
@@ -7,38 +7,39 @@
 	"github.com/samber/oops"
 )
 
-// Settings say how closely a bound is computed. Any of them gives a valid one.
+// Settings control the accuracy of a bound, which is valid with any of them.
 type Settings struct {
-	Window time.Duration // finer windows count stays more exactly
-	Span   time.Duration // prices change this often; rounded to whole windows
-	Rounds int           // of moving prices
+	Window time.Duration // shorter windows count residences more exactly
+	Span   time.Duration // prices are constant within a span, which is rounded to whole windows
+	Rounds int           // maximum number of price adjustments
 }
 
-// DefaultSettings returns those for a minute of load.
+// DefaultSettings returns settings for a minute of load.
 func DefaultSettings() Settings {
 	return Settings{Window: 250 * time.Millisecond, Span: time.Second, Rounds: 300}
 }
 
 // Result is a bound.
 type Result struct {
-	Total float64 `json:"total"` // worth of all requests in time
+	Total float64 `json:"total"` // value of all requests if all are served in time
 	Most  float64 `json:"most"`  // no policy earns more
-	// Memory and Orders are the parts of Most that stand for the prices of memory and of
-	// order time. A part of 0 tells that there is enough of it; a large one, that more of
+	// Memory and Orders are the parts of the bound that come from the prices of memory and of
+	// order time. At 0 there is enough of the resource; a large value means that more of
 	// it would earn more.
 	Memory float64 `json:"memory"`
 	Orders float64 `json:"orders"`
 }
 
 const (
-	// stall is how many rounds without a better bound halve the step.
-	stall = 10
-	// closeEnough ends the search: the bound is that near to what is known to be earned.
-	closeEnough = 1e-4
+	// stallRounds is the number of rounds without a better bound after which the step is halved.
+	stallRounds = 10
+	// tolerance ends the search: the gap between the bound and what is known to be earned,
+	// relative to the total.
+	tolerance = 1e-4
 )
 
-// Solve bounds what a problem could earn. earned is what some policy earns, 0 if none is
-// known; it guides the search and does not change what is valid.
+// Solve computes a bound for a problem. earned is what some policy earns, or 0 if none is
+// known; it guides the search and does not affect the validity of the bound.
 func Solve(p Problem, earned float64, s Settings) (Result, error) {
 	if err := p.Check(); err != nil {
 		return Result{}, err
@@ -48,28 +49,28 @@
 	}
 	x := newSearch(p, s)
 	best := Result{Total: p.Total(), Most: math.Inf(1)}
-	theta, since := 1.0, 0
+	theta, stalled := 1.0, 0
 	for range s.Rounds {
 		r := x.value()
-		if since++; r.Most < best.Most {
+		if stalled++; r.Most < best.Most {
 			best.Most, best.Memory, best.Orders = r.Most, r.Memory, r.Orders
-			since = 0
+			stalled = 0
 		}
-		if best.Most-earned <= closeEnough*best.Total {
+		if best.Most-earned <= tolerance*best.Total {
 			break
 		}
-		if since == stall {
-			theta, since = theta/2, 0
+		if stalled == stallRounds {
+			theta, stalled = theta/2, 0
 		}
 		x.prices.descend(x.capacity, x.used, theta*(r.Most-earned))
 	}
 	return best, nil
 }
 
-// search is the state of moving prices.
+// search is the state of the price search.
 type search struct {
 	models       []*valuer
-	capacity     []float64 // span to seconds of engines
+	capacity     []float64 // seconds of engines by span
 	prices, used *prices
 }
 
@@ -88,11 +89,12 @@
 	return x
 }
 
-// value returns the bound at the present prices, and sets what the best stays use.
+// value returns the bound at the present prices, and sets used to what the best residences
+// use.
 func (x *search) value() Result {
 	x.used.clear()
 	var r Result
-	r.Memory, r.Orders = x.prices.worth(x.capacity)
+	r.Memory, r.Orders = x.prices.cost(x.capacity)
 	r.Most = r.Memory + r.Orders
 	for _, v := range x.models {
 		r.Most += v.value(*x.prices, x.used)
--- a/internal/core/bound/usage.go
+++ b/internal/core/bound/usage.go
@@ -1,49 +1,49 @@
 package bound
 
-// use adds up what the best stays use, the last of which ends in window end.
-func (v *valuer) use(p prices, end int, used *prices) {
-	k, going := end, v.wentOn(end)
+// addUse adds to used what the best residences use of which the last ends in window end.
+func (v *valuer) addUse(p prices, end int, used *prices) {
+	k, extended := end, v.beganBefore(end)
 	for {
-		if going {
-			b := v.goesFrom[k]
+		if extended {
+			b := v.heldSince[k]
 			if b == none {
-				v.useMemory(used, k-1, v.g.width)
+				v.addMemory(used, k-1, v.g.width)
 				k--
 				continue
 			}
 			for w := b + 1; w < k; w++ {
-				v.useMemory(used, w, v.g.width)
+				v.addMemory(used, w, v.g.width)
 			}
-			k, going = b, false
+			k, extended = b, false
 		}
-		j := v.startOf[k]
+		j := v.previousEnd[k]
 		if j == atStart {
 			return
 		}
 		if j == none {
-			v.useLoad(p, used, k, 0)
+			v.addLoad(p, used, k, 0)
 			return
 		}
-		v.useLoad(p, used, k, 1)
-		if j == inPlace {
+		v.addLoad(p, used, k, 1)
+		if j == sameWindow {
 			j = k
-			going = true
+			extended = true
 		} else {
-			going = v.wentOn(j)
+			extended = v.beganBefore(j)
 		}
 		used.orders[v.unloadAt(p, j)] += v.unload
 		k = j
 	}
 }
 
-func (v *valuer) useLoad(p prices, used *prices, k, which int) {
-	takes := v.takes[which]
+func (v *valuer) addLoad(p prices, used *prices, k, which int) {
+	seconds := v.loadSeconds[which]
 	j, _ := v.loadAt(p, k, which)
-	v.useMemory(used, j, takes)
-	used.orders[j/v.g.perSpan] += takes
+	v.addMemory(used, j, seconds)
+	used.orders[j/v.g.perSpan] += seconds
 }
 
-func (v *valuer) useMemory(used *prices, k int, seconds float64) {
+func (v *valuer) addMemory(used *prices, k int, seconds float64) {
 	for m := range measures {
 		used.memory[m][k/v.g.perSpan] += v.size[m] * seconds
 	}
--- a/internal/core/bound/windows.go
+++ b/internal/core/bound/windows.go
@@ -2,11 +2,12 @@
 
 import "math"
 
-// grid cuts the time of a problem into windows; several windows in turn share their prices.
+// grid divides the time of a problem into windows; consecutive windows are grouped into
+// spans that share their prices.
 type grid struct {
 	begin, width float64 // seconds
 	windows      int
-	perSpan      int // windows that share their prices
+	perSpan      int // windows in a span
 }
 
 func (g grid) spans() int { return (g.windows + g.perSpan - 1) / g.perSpan }
@@ -17,102 +18,103 @@
 }
 
 // rounding, in seconds, keeps a time on the border of two windows from falling into the
-// earlier one, which would bar a stay that begins just then.
+// earlier one, which would exclude a residence that begins at that time.
 const rounding = 1e-9
 
-// asked is a request by windows.
-type asked struct {
+// windowRequest is a request with its times as windows.
+type windowRequest struct {
 	from, inTime, late int
-	runs               int // whole windows
-	worth, little      float64
+	runs               int // rounded down
+	value, lateValue   float64
 }
 
 func newValuer(p Problem, m Model, g grid) *valuer {
-	v := &valuer{g: g, takes: [2]float64{m.First.Seconds(), m.Again.Seconds()}, unload: p.Unload.Seconds(), held: m.Held, onDemand: p.OnDemand}
+	v := &valuer{g: g, loadSeconds: [2]float64{m.First.Seconds(), m.Again.Seconds()}, unload: p.Unload.Seconds(), held: m.Held, onDemand: p.OnDemand}
 	for k := range measures {
 		v.size[k] = measure(k, m.Megabytes, p.Megabytes)
 	}
-	for i, t := range v.takes {
-		v.back[i] = int(math.Ceil(t / g.width))
+	for i, t := range v.loadSeconds {
+		v.loadWindows[i] = int(math.Ceil(t / g.width))
 	}
 	rs := v.byWindow(p, m)
-	v.count(rs)
-	v.bind(rs)
-	for _, s := range []*[]float64{&v.memory, &v.starts, &v.goes, &v.endWorth} {
+	v.computeGains(rs)
+	v.computeLimits(rs)
+	for _, s := range []*[]float64{&v.memoryPrice, &v.startValue, &v.heldValue, &v.endValue} {
 		*s = make([]float64, g.windows)
 	}
-	v.paid = make([]float64, g.windows+1)
-	v.startOf, v.bestEnd, v.goesFrom = make([]int, g.windows), make([]int, g.windows), make([]int, g.windows)
+	v.memoryCost = make([]float64, g.windows+1)
+	v.previousEnd, v.bestEnd, v.heldSince = make([]int, g.windows), make([]int, g.windows), make([]int, g.windows)
 	return v
 }
 
-// byWindow returns the requests that can earn something.
-func (v *valuer) byWindow(p Problem, m Model) []asked {
-	var out []asked
+// byWindow converts the requests that can earn something, and sets maxWait.
+func (v *valuer) byWindow(p Problem, m Model) []windowRequest {
+	var out []windowRequest
 	for _, r := range m.Requests {
 		if r.Late < r.From || r.From >= p.End {
 			continue
 		}
-		a := asked{from: v.g.at(r.From.Seconds()), inTime: v.g.at(r.InTime.Seconds() + rounding), late: v.g.at(r.Late.Seconds() + rounding),
-			runs: int(r.Runs.Seconds() / v.g.width), worth: r.Worth, little: r.Little}
+		a := windowRequest{from: v.g.at(r.From.Seconds()), inTime: v.g.at(r.InTime.Seconds() + rounding), late: v.g.at(r.Late.Seconds() + rounding),
+			runs: int(r.Runs.Seconds() / v.g.width), value: r.Worth, lateValue: r.Little}
 		if r.InTime < r.From {
 			a.inTime = -1
 		}
 		out = append(out, a)
-		v.reach = max(v.reach, a.late-a.from+1)
+		v.maxWait = max(v.maxWait, a.late-a.from+1)
 	}
 	return out
 }
 
-// bind fills in what ties stays to requests: a stay serves one at least, whose run it
-// outlasts, as it would be left out otherwise.
-func (v *valuer) bind(rs []asked) {
+// computeLimits sets the limits that requests impose on residences: a residence serves at
+// least one request and lasts until that request has run, or it would be ignored.
+func (v *valuer) computeLimits(rs []windowRequest) {
 	n := v.g.windows
-	v.last, v.ends, v.landing = make([]int, n), make([]int, n), make([][]int, n)
+	v.lastArrival, v.earliestEnd, v.startsByEnd = make([]int, n), make([]int, n), make([][]int, n)
 	for k := range n {
-		v.last[k], v.ends[k] = -1, n-1
+		v.lastArrival[k], v.earliestEnd[k] = -1, n-1
 		for _, r := range rs {
 			if r.from <= k {
-				v.last[k] = max(v.last[k], r.from)
+				v.lastArrival[k] = max(v.lastArrival[k], r.from)
 			}
 			if r.late >= k {
-				v.ends[k] = min(v.ends[k], max(k, r.from)+r.runs)
+				v.earliestEnd[k] = min(v.earliestEnd[k], max(k, r.from)+r.runs)
 			}
 		}
-		if e := v.ends[k]; e > k {
-			v.landing[e] = append(v.landing[e], k)
+		if e := v.earliestEnd[k]; e > k {
+			v.startsByEnd[e] = append(v.startsByEnd[e], k)
 		}
 	}
 }
 
-// earns returns what a request is worth if its model is held in window k and was not
+// valueIn returns the value of a request if its model is held in window k and was not held
 // between its arrival and k.
-func (a asked) earns(k int) float64 {
+func (a windowRequest) valueIn(k int) float64 {
 	switch {
 	case k < a.from || k > a.late:
 		return 0
 	case k <= a.inTime:
-		return a.worth
+		return a.value
 	}
-	return a.little
+	return a.lateValue
 }
 
-// count fills in what windows earn.
-func (v *valuer) count(rs []asked) {
-	v.fresh = make([]float64, v.g.windows+1)
+// computeGains sets arrivedValue and gains.
+func (v *valuer) computeGains(rs []windowRequest) {
+	v.arrivedValue = make([]float64, v.g.windows+1)
 	v.gains = make([][]float64, v.g.windows)
 	for k := range v.gains {
-		v.gains[k] = make([]float64, min(v.reach, k+1)+1)
+		v.gains[k] = make([]float64, min(v.maxWait, k+1)+1)
 	}
 	for _, r := range rs {
-		v.fresh[r.from+1] += r.earns(r.from)
+		v.arrivedValue[r.from+1] += r.valueIn(r.from)
 		for k := r.from; k <= r.late; k++ {
-			// It is left for k if the stay before ended before it arrived: d >= k-from.
-			v.gains[k][k-r.from] += r.earns(k)
+			// The request is unserved before k if the previous residence ended before it
+			// arrived: d >= k-from.
+			v.gains[k][k-r.from] += r.valueIn(k)
 		}
 	}
 	for k := range v.g.windows {
-		v.fresh[k+1] += v.fresh[k]
+		v.arrivedValue[k+1] += v.arrivedValue[k]
 	}
 	for _, g := range v.gains {
 		for d := 1; d < len(g); d++ {
