--- a/internal/core/state/apply.go
+++ b/internal/core/state/apply.go
@@ -10,12 +10,12 @@
 	"github.com/cassiapass/cassiapass/internal/core/record"
 )
 
-// Apply carries out the command at the given log index and returns its result
-// and the changes that subscribers have to learn of.
+// Apply executes the command at the given log index and returns its result and the
+// changes to publish to subscribers. Indexes must increase.
 func (s *State) Apply(index ident.Index, c Command) (Result, []Change) {
 	invariant(index > s.index, "command %d after %d", index, s.index)
 	s.index = index
-	// A new leader's clock may be behind; time in the state never goes back.
+	// A new leader's clock may be behind; time in the state never decreases.
 	if c.Time.After(s.now) {
 		s.now = c.Time
 	}
@@ -25,7 +25,7 @@
 	return res, s.changes
 }
 
-// Skip records that the entry at index held no command.
+// Skip advances the state past a log entry that holds no command.
 func (s *State) Skip(index ident.Index) {
 	invariant(index > s.index, "entry %d after %d", index, s.index)
 	s.index = index
@@ -34,9 +34,9 @@
 func (s *State) dispatch(c Command) Result {
 	switch {
 	case c.Submit != nil:
-		return s.once(c.Submit.Request, c.Submit, func() (Result, string) { return s.submit(c.By, *c.Submit) })
+		return s.applyOnce(c.Submit.Request, c.Submit, func() (Result, string) { return s.submit(c.By, *c.Submit) })
 	case c.Withdraw != nil:
-		return s.once(c.Withdraw.Request, c.Withdraw, func() (Result, string) { return s.withdraw(c.By, *c.Withdraw) })
+		return s.applyOnce(c.Withdraw.Request, c.Withdraw, func() (Result, string) { return s.withdraw(c.By, *c.Withdraw) })
 	case c.Endpoint != nil:
 		return s.setEndpoint(c.By, *c.Endpoint)
 	case c.Forget != nil:
@@ -60,15 +60,15 @@
 		s.holder = s.holder.Next(*c.Holder)
 		return Result{Code: OK}
 	case c.Poison != nil:
-		return s.notePoison(c.By, *c.Poison)
+		return s.applyPoison(c.By, *c.Poison)
 	}
 	return Result{Code: Invalid, Message: "the command is empty"}
 }
 
-// once carries out an operator request, or returns its first answer if it was
-// carried out before. An operator who lost the answer resends; without the
-// stored answer the resend would meet its own change and report a conflict.
-func (s *State) once(request string, body any, f func() (Result, string)) Result {
+// applyOnce executes an operator request with f, or returns the stored answer if the
+// request was executed before. An operator who did not receive the answer sends the
+// request again; without the stored answer it would conflict with its own change.
+func (s *State) applyOnce(request string, body any, f func() (Result, string)) Result {
 	if request == "" {
 		return Result{Code: Invalid, Message: "the operator request id is missing"}
 	}
@@ -100,15 +100,15 @@
 		return Result{Code: Invalid, Message: err.Error()}, ""
 	}
 	old, exists := s.records[svc.Name]
-	live := exists && !old.Withdrawn
-	if res, bad := s.conflict(old, live, c.Base); bad {
+	inForce := exists && !old.Withdrawn
+	if res, bad := s.conflict(old, inForce, c.Base); bad {
 		return res, svc.Name
 	}
-	if msg := s.foreignKeys(svc); msg != "" {
+	if msg := s.keyConflict(svc); msg != "" {
 		return Result{Code: Invalid, Message: msg}, ""
 	}
 	action := ActionSubmit
-	if live {
+	if inForce {
 		action = ActionRevise
 	}
 	r := Record{Name: svc.Name, Revision: s.index, Raw: c.Raw, service: svc}
@@ -131,16 +131,17 @@
 	return Result{Code: OK, Revision: r.Revision}, c.Name
 }
 
-// conflict compares the base revision with the one in force. Of two operators
-// who hold equal numbers the first committed one wins here.
-func (s *State) conflict(old Record, live bool, base ident.Index) (Result, bool) {
-	if live && old.Revision == base {
+// conflict reports whether base differs from the revision in force, and the result to
+// answer then. If two operators submit changes on the same base, the first one to be
+// committed is applied.
+func (s *State) conflict(old Record, inForce bool, base ident.Index) (Result, bool) {
+	if inForce && old.Revision == base {
 		return Result{}, false
 	}
-	if !live && base == 0 {
+	if !inForce && base == 0 {
 		return Result{}, false
 	}
-	if !live {
+	if !inForce {
 		return Result{Code: Conflict, Message: fmt.Sprintf("based on revision %d, but no such record is in force", base)}, true
 	}
 	return Result{
@@ -149,9 +150,10 @@
 	}, true
 }
 
-// foreignKeys refuses key digests that another service's customer of another
-// name uses: a caller's key must lead to one customer.
-func (s *State) foreignKeys(svc *record.Service) string {
+// keyConflict returns the reason to reject svc if it uses a key digest that another
+// service uses for a different customer, else "". An API key must identify exactly
+// one customer.
+func (s *State) keyConflict(svc *record.Service) string {
 	for _, r := range s.Records() {
 		if r.Name == svc.Name || r.service == nil {
 			continue
@@ -171,11 +173,12 @@
 func (s *State) putRecord(r Record) {
 	s.records[r.Name] = r
 	s.config = s.index
-	s.restate()
+	s.recomputeStatements()
 	s.changes = append(s.changes, Change{Index: s.index, Record: &r})
 }
 
-// log appends to the audit trail and drops the oldest events beyond the bound.
+// log appends to the audit trail and drops the oldest events beyond MaxAudit. They
+// are dropped in batches of an eighth of it.
 func (s *State) log(e AuditEvent) {
 	e.Index, e.Time = s.index, s.now
 	s.audit = append(s.audit, e)
--- a/internal/core/state/claims.go
+++ b/internal/core/state/claims.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// openClaim claims an idempotency key. Exactly one request holds a key from
-// here until it is settled, through whichever entry it came.
+// openClaim claims an idempotency key. One request holds the key, across all entries,
+// until it is released as not run or its claim expires; other requests get InProgress
+// with that claim.
 func (s *State) openClaim(c OpenClaim) Result {
 	old, ok := s.claims[c.Key]
 	if ok && old.Digest != c.Digest {
 		return Result{Code: DigestDiffer, Message: "the idempotency key was used with another request"}
 	}
 	if ok && old.Request == c.Request {
-		return Result{Code: OK, Claim: &old} // the entry asked again after losing the answer
+		return Result{Code: OK, Claim: &old} // the entry lost the answer and retries
 	}
 	if ok {
 		return Result{Code: InProgress, Claim: &old}
@@ -27,8 +28,9 @@
 	return Result{Code: OK, Claim: &claim}
 }
 
-// settle ends an open claim. Only the request that opened it may do so: a late
-// message about an earlier request under the same key changes nothing.
+// settle records the outcome of an open claim. Only the request that opened the claim
+// may settle it: a late message of an earlier request under the same key has no
+// effect.
 func (s *State) settle(c SettleClaim) Result {
 	old, ok := s.claims[c.Key]
 	if !ok || old.Request != c.Request {
@@ -62,9 +64,9 @@
 	delete(s.open, c.Key)
 }
 
-// expire turns open claims whose request cannot be running any more into
-// unknown ones and drops claims past their retention. Buckets by minute keep
-// the cost proportional to what expires.
+// expire marks open claims as unknown when their request can no longer be running,
+// drops claims past their retention and ends expired quarantines. Claims are bucketed
+// by minute, so that the cost is proportional to the claims that expire.
 func (s *State) expire() Result {
 	for k := range s.open {
 		c := s.claims[k]
@@ -85,6 +87,6 @@
 		}
 		delete(s.expiry, m)
 	}
-	s.lapsePoison()
+	s.expireQuarantines()
 	return Result{Code: OK}
 }
--- a/internal/core/state/command.go
+++ b/internal/core/state/command.go
@@ -10,9 +10,9 @@
 	"github.com/cassiapass/cassiapass/internal/core/record"
 )
 
-// Command is one entry of the replicated log. Exactly one part is set.
+// Command is one command of the replicated log. Exactly one of the pointers is set.
 type Command struct {
-	Time     time.Time       `json:"time"` // of the proposing leader; the state never moves back
+	Time     time.Time       `json:"time"` // clock of the proposing leader; time in the state never decreases
 	By       string          `json:"by"`
 	Submit   *Submit         `json:"submit,omitempty"`
 	Withdraw *Withdraw       `json:"withdraw,omitempty"`
@@ -29,7 +29,7 @@
 	Poison   *poison.Note    `json:"poison,omitempty"`
 }
 
-// Submit writes a new record or revises one.
+// Submit creates a record or revises one.
 type Submit struct {
 	Request string      `json:"request"` // operator request id; a resend gets the first answer
 	Base    ident.Index `json:"base"`    // revision it was written against; 0 for a new record
@@ -37,7 +37,7 @@
 	Reason  string      `json:"reason,omitempty"`
 }
 
-// Withdraw ends a record.
+// Withdraw takes a record out of force.
 type Withdraw struct {
 	Request string      `json:"request"`
 	Name    string      `json:"name"`
@@ -45,28 +45,28 @@
 	Reason  string      `json:"reason,omitempty"`
 }
 
-// EndpointSet registers an endpoint or changes its standing.
+// EndpointSet registers an endpoint or replaces its state.
 type EndpointSet struct {
 	Endpoint Endpoint `json:"endpoint"`
 	Reason   string   `json:"reason"`
 }
 
-// EndpointForget removes an endpoint whose host is known to be gone, together
-// with its replicas.
+// EndpointForget removes an endpoint whose host no longer exists, together with its
+// replicas.
 type EndpointForget struct {
 	Host        ident.HostID      `json:"host"`
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Reason      string            `json:"reason"`
 }
 
-// Grant decides one replica.
+// Grant permits one replica of a target on a host.
 type Grant struct {
 	Target ident.Target `json:"target"`
 	Host   ident.HostID `json:"host"`
 	Reason string       `json:"reason"`
 }
 
-// ReplicaSet moves a replica to a phase; Gone removes it.
+// ReplicaSet moves a replica to a phase, or removes it if Gone is set.
 type ReplicaSet struct {
 	ID     ident.Index  `json:"id"`
 	Phase  ReplicaPhase `json:"phase,omitempty"`
@@ -74,7 +74,7 @@
 	Reason string       `json:"reason"`
 }
 
-// OpenClaim claims an idempotency key before the first run.
+// OpenClaim claims an idempotency key before the request runs for the first time.
 type OpenClaim struct {
 	Key     ClaimKey        `json:"key"`
 	Digest  string          `json:"digest"`
@@ -82,7 +82,7 @@
 	Within  time.Duration   `json:"within"` // until the request's deadline, from the command's time
 }
 
-// SettleClaim ends an open claim. NotRun releases the key for another try.
+// SettleClaim settles an open claim. NotRun releases the key for another attempt.
 type SettleClaim struct {
 	Key     ClaimKey        `json:"key"`
 	Request ident.RequestID `json:"request"`
@@ -91,7 +91,7 @@
 	Answer  *Answer         `json:"answer,omitempty"`
 }
 
-// Expire drops what is older than the command's time allows.
+// Expire drops claims and quarantines whose time is over at the command's time.
 type Expire struct{}
 
 // History adds observed idle times to the keep-alive statistics.
@@ -105,16 +105,16 @@
 // The outcomes.
 const (
 	OK           Code = "ok"
-	Invalid      Code = "invalid"       // the record is wrong; Problems tells how
+	Invalid      Code = "invalid"       // the command is not valid; Message says why
 	Conflict     Code = "conflict"      // based on another revision; Present holds the content in force
 	NotFound     Code = "not_found"     // no such record, endpoint or replica
 	OverMemory   Code = "over_memory"   // the grant would overcommit the endpoint's memory
-	OverDecided  Code = "over_decided"  // the grant would exceed the sold number of replicas
-	Unavailable  Code = "unavailable"   // the endpoint is leaving, down or lacks the base model
+	OverDecided  Code = "over_decided"  // the grant would exceed the maximum number of replicas
+	Unavailable  Code = "unavailable"   // the endpoint is unknown, leaving, down or without the base model
 	Stale        Code = "stale"         // an older incarnation or an outdated phase
 	InProgress   Code = "in_progress"   // another request holds the key
-	DigestDiffer Code = "digest_differ" // the key was used with another body
-	Full         Code = "full"          // a bound of the state is reached
+	DigestDiffer Code = "digest_differ" // the key was used with another method, path or body
+	Full         Code = "full"          // a limit of the state is reached
 )
 
 // Result is the answer to a command, the same on every control host.
@@ -125,5 +125,5 @@
 	Message  string      `json:"message,omitempty"`
 	Present  *Record     `json:"present,omitempty"`
 	Claim    *Claim      `json:"claim,omitempty"`
-	Resent   bool        `json:"resent,omitempty"` // the first answer to a request seen before
+	Resent   bool        `json:"resent,omitempty"` // the request was answered before and changed nothing now
 }
--- a/internal/core/state/deployment.go
+++ b/internal/core/state/deployment.go
@@ -7,29 +7,28 @@
 	"github.com/cassiapass/cassiapass/internal/core/ident"
 )
 
-// Deploy puts a whole deployment in force under an operator's version.
+// Deploy replaces the whole deployment under a version chosen by the operator.
 type Deploy struct {
 	Version uint64 `json:"version"`
 	Text    string `json:"text"` // exactly as the operator sent it
 }
 
-// Deployment is the deployment with the highest version that was accepted.
-// Its text is kept as it was sent and is decoded where it is used, so that an
-// operator reads back what was written.
+// Deployment is the accepted deployment with the highest version. Its text is kept
+// verbatim and decoded where it is used, so that an operator reads back exactly what
+// was written.
 type Deployment struct {
 	Version  uint64      `json:"version"`
 	Text     string      `json:"text"`
-	Revision ident.Index `json:"revision"` // index at which it came into force
+	Revision ident.Index `json:"revision"` // log index at which it came into force
 }
 
 // Deployment returns the deployment in force; its Version is 0 if there is none.
 func (s *State) Deployment() Deployment { return s.deployed }
 
-// deploy takes the highest version. An older one that is sent again was
-// overtaken and is acknowledged without effect; the present one is acknowledged
-// again if its text is the same. Another text under the same version is
-// refused: two operators would otherwise read different content under one
-// number.
+// deploy accepts a deployment with a higher version than the one in force. A lower
+// version is superseded and acknowledged without effect; the same version is
+// acknowledged again if its text is the same. Another text under the same version is
+// refused: operators would otherwise see different content under one version.
 func (s *State) deploy(by string, c Deploy) Result {
 	return s.checkDeploy(c, func() Result {
 		before := s.deployed.Revision
@@ -52,12 +51,12 @@
 	}
 }
 
-// Holder returns the newest note on who holds the engines.
+// Holder returns the newest record of the host that holds the engines.
 func (s *State) Holder() holder.Record { return s.holder }
 
-// Deployed tells how a deployment would be answered if it changes nothing: it
-// was sent before, was overtaken, or clashes. The bool is false if it is new
-// and has to be decided. A resend thus costs no entry of the log.
+// Deployed returns the answer to a deployment that would change nothing because it was
+// sent before, is superseded or conflicts. It returns false if the deployment is new
+// and has to be committed. A repeated deployment therefore needs no log entry.
 func (s *State) Deployed(c Deploy) (Result, bool) {
 	known := true
 	res := s.checkDeploy(c, func() Result {
--- a/internal/core/state/deployment_test.go
+++ b/internal/core/state/deployment_test.go
@@ -20,7 +20,7 @@
 		{"first", Deploy{3, "a"}, OK, false, 3},
 		{"resent", Deploy{3, "a"}, OK, true, 3},
 		{"same version, other content", Deploy{3, "b"}, Conflict, false, 3},
-		{"overtaken", Deploy{2, "z"}, OK, true, 3},
+		{"superseded", Deploy{2, "z"}, OK, true, 3},
 		{"higher", Deploy{7, "c"}, OK, false, 7},
 		{"older one arrives again", Deploy{3, "a"}, OK, true, 7},
 	}
@@ -28,7 +28,7 @@
 	s := New()
 	for i, tc := range cases {
 		_, known := s.Deployed(tc.send)
-		is.Equal(known, tc.resent || tc.want == Conflict) // only a new version needs a decision
+		is.Equal(known, tc.resent || tc.want == Conflict) // only a new version needs a log entry
 		res, _ := s.Apply(s.Index()+1, Command{By: "op", Deploy: &cases[i].send})
 		is.Equal(res.Code, tc.want)
 		is.Equal(res.Resent, tc.resent)
@@ -37,9 +37,8 @@
 	is.Equal(s.Deployment().Text, "c")
 }
 
-// Symptom: after a restart from a snapshot the deployment is gone.
-// Sequence: deploy, snapshot, decode.
-// Cause: a part of the state that is left out of its encoded form.
+// Guards against a deployment that is missing after a restart from a snapshot because
+// the encoded form of the state omits it.
 func TestDeploymentSurvivesASnapshot(t *testing.T) {
 	is := is.New(t)
 	s := New()
@@ -51,8 +50,8 @@
 	is.Equal(back.Deployment(), s.Deployment())
 }
 
-// Symptom: a change of 0.75 MB takes 5.5 MB of the leader's link, half a second's worth.
-// Cause: its text, which repeats itself, was written to the log as it is.
+// A deployment of 0.75 MB, written to the log uncompressed, would take 5.5 MB of the
+// leader's link, which is half a second of its bandwidth.
 func TestLongTextsArePackedInTheLog(t *testing.T) {
 	is := is.New(t)
 	var routes strings.Builder
@@ -65,16 +64,17 @@
 		var back Command
 		is.NoErr(json.Unmarshal(data, &back))
 		is.Equal(*back.Deploy, Deploy{7, text})
-		if len(text) > packFrom {
-			is.True(len(data) < len(text)/3) // with what its writing as JSON adds
+		if len(text) > compressFrom {
+			is.True(len(data) < len(text)/3) // base64 and JSON overhead included
 		}
 	}
 }
 
-// Symptom: a host with a log of an earlier release has no deployment, or does not start.
-func TestTextsThatWereNotPackedAreRead(t *testing.T) {
+// A host must read a log that an earlier release wrote without compression; otherwise it
+// has no deployment or does not start.
+func TestUncompressedTextsAreRead(t *testing.T) {
 	is := is.New(t)
-	long := strings.Repeat("x", 2*packFrom)
+	long := strings.Repeat("x", 2*compressFrom)
 	var c Command
 	is.NoErr(json.Unmarshal([]byte(`{"deploy":{"version":3,"text":"`+long+`"}}`), &c))
 	is.Equal(*c.Deploy, Deploy{3, long})
@@ -84,11 +84,11 @@
 	is.True(json.Unmarshal([]byte(`{"deploy":{"version":3}}`), &c) != nil)
 }
 
-// Symptom: in a group of two releases an empty configuration is decided and acknowledged.
-// Sequence: a host of a newer release writes a packed text, one of an older reads it.
+// In a group of two releases, a host of the older one must fail on a compressed text. If it
+// read an empty text, an empty configuration would be committed and acknowledged.
 func TestReleaseWithoutPackedTextsRefusesThem(t *testing.T) {
 	is := is.New(t)
-	data, err := json.Marshal(Command{Deploy: &Deploy{3, strings.Repeat("x", 2*packFrom)}})
+	data, err := json.Marshal(Command{Deploy: &Deploy{3, strings.Repeat("x", 2*compressFrom)}})
 	is.NoErr(err)
 	var older struct {
 		Deploy *struct {
--- a/internal/core/state/poison.go
+++ b/internal/core/state/poison.go
@@ -7,12 +7,14 @@
 	"github.com/cassiapass/cassiapass/internal/core/poison"
 )
 
-// Poison returns the requests that are quarantined, and the key of their fingerprints. The
-// caller only reads it.
+// Poison returns the registry of quarantined requests, with the key of their fingerprints.
+// The caller must not modify it.
 func (s *State) Poison() poison.Registry { return s.poison }
 
-// notePoison takes a note on requests under which endpoints ended.
-func (s *State) notePoison(by string, n poison.Note) Result {
+// applyPoison applies a report on requests under which endpoints ended: it quarantines
+// requests that ended enough of them, and lifts quarantines on an operator's demand or
+// after the request was answered.
+func (s *State) applyPoison(by string, n poison.Note) Result {
 	for _, f := range n.Lift {
 		if !s.poison.Has(f) {
 			return Result{Code: NotFound, Message: fmt.Sprintf("request %s is not quarantined", f)}
@@ -32,7 +34,7 @@
 	return Result{Code: OK, Revision: s.index}
 }
 
-// setPoison puts a note in force and tells subscribers.
+// setPoison updates the registry, writes the audit events and publishes the change.
 func (s *State) setPoison(by string, n poison.Note) {
 	for _, f := range n.Lift {
 		s.suspects.Clear(f)
@@ -49,8 +51,9 @@
 	s.changes = append(s.changes, Change{Index: s.index, Poison: &next})
 }
 
-// lapsePoison ends the quarantines that the log itself decided and whose time is over.
-func (s *State) lapsePoison() {
+// expireQuarantines lifts the quarantines whose time is over. Their requests stay on
+// probation: the next end of an endpoint quarantines them again.
+func (s *State) expireQuarantines() {
 	var n poison.Note
 	for _, f := range s.suspects.Sweep(s.now) {
 		if s.poison.Has(f) {
@@ -66,6 +69,6 @@
 	}
 	s.setPoison("control", n)
 	for _, f := range n.Lift {
-		s.suspects.Put(probation[f]) // the next end quarantines it again
+		s.suspects.Put(probation[f]) // setPoison cleared the case
 	}
 }
--- a/internal/core/state/replicas.go
+++ b/internal/core/state/replicas.go
@@ -9,13 +9,13 @@
 func (s *State) setEndpoint(by string, c EndpointSet) Result {
 	e := c.Endpoint
 	old, known := s.endpoints[e.Host]
-	// A delayed registration of a process that no longer exists would undo
-	// that of its successor.
+	// A delayed registration of a process that no longer exists would otherwise
+	// replace that of its successor.
 	if known && e.Incarnation < old.Incarnation {
 		return Result{Code: Stale, Message: fmt.Sprintf("incarnation %d of %s is known", old.Incarnation, e.Host)}
 	}
 	if e.Memory < s.used[e.Host] {
-		// Replicas decided earlier cannot be wished away by a smaller setting.
+		// A smaller memory setting does not remove replicas granted earlier.
 		return Result{Code: OverMemory, Message: fmt.Sprintf("%d bytes are granted at %s, more than %d", s.used[e.Host], e.Host, e.Memory)}
 	}
 	e.Revision = s.index
@@ -39,12 +39,12 @@
 	return Result{Code: OK}
 }
 
-// grant decides a replica if both promises allow it. The planner has weighed
-// the same numbers before, but only here are they those of the log: a planner
-// that worked from an older state is refused, not trusted.
+// grant adds a replica unless that would exceed the endpoint's memory or the maximum
+// number of replicas. The planner checks the same limits, but its state may be
+// outdated; here they are checked against the state of the log.
 func (s *State) grant(by string, c Grant) Result {
-	said, ok := s.stated[c.Target]
-	bytes := said.Bytes
+	stmt, ok := s.stated[c.Target]
+	bytes := stmt.Bytes
 	if !ok {
 		return Result{Code: NotFound, Message: fmt.Sprintf("no record in force states %s", c.Target)}
 	}
@@ -66,7 +66,7 @@
 	}
 	r := Replica{ID: s.index, Target: c.Target, Host: c.Host, Bytes: bytes, Phase: Granted, Reason: c.Reason, Since: s.now, Revision: s.index}
 	s.replicas[r.ID] = r
-	s.count(r, +1)
+	s.updateIndexes(r, +1)
 	s.changes = append(s.changes, Change{Index: s.index, Replica: &r})
 	s.logReplica(by, ActionGrant, r, c.Reason)
 	return Result{Code: OK, Revision: r.ID}
@@ -74,7 +74,7 @@
 
 // at returns the replica of t on host h.
 func (s *State) at(t ident.Target, h ident.HostID) (Replica, bool) {
-	id, ok := s.where[spot{t, h}]
+	id, ok := s.byPlacement[placement{t, h}]
 	return s.replicas[id], ok
 }
 
@@ -87,8 +87,8 @@
 		return Result{Code: NotFound, Message: fmt.Sprintf("no replica %d", c.ID)}
 	}
 	if c.Gone {
-		// The agent unloads adapters first; a base model that vanished took
-		// them along, and their own removal is on its way.
+		// The agent unloads adapters before their base model. If the base model was
+		// lost, its adapters are lost with it, and the reports of their removal follow.
 		for _, dep := range s.Dependents(r) {
 			s.remove(by, dep, "its base model is gone: "+c.Reason)
 		}
@@ -112,7 +112,7 @@
 	return Result{Code: OK, Revision: s.index}
 }
 
-// Dependents returns the adapter replicas that sit on base replica r.
+// Dependents returns the adapter replicas that need base replica r.
 func (s *State) Dependents(r Replica) []Replica {
 	if r.Target.IsAdapter() {
 		return nil
@@ -132,7 +132,7 @@
 		return
 	}
 	delete(s.replicas, r.ID)
-	s.count(r, -1)
+	s.updateIndexes(r, -1)
 	s.changes = append(s.changes, Change{Index: s.index, Removed: r.ID, Host: r.Host})
 	s.logReplica(by, ActionRemove, r, reason)
 }
@@ -141,7 +141,7 @@
 	s.log(AuditEvent{By: by, Action: a, Subject: fmt.Sprintf("replica %d", r.ID), Target: r.Target.String(), Host: r.Host, Reason: reason})
 }
 
-// ReplicasOf returns the replicas of a target, in order of decision.
+// ReplicasOf returns the replicas of a target in ascending order of their IDs.
 func (s *State) ReplicasOf(t ident.Target) []Replica {
 	var out []Replica
 	for _, id := range s.byTarget[t] {
--- a/internal/core/state/state.go
+++ b/internal/core/state/state.go
@@ -20,18 +20,18 @@
 // independent of its origin.
 type State struct {
 	index   ident.Index
-	config  ident.Index // index of the last record change
+	config  ident.Index // log index of the last record change
 	now     time.Time
 	records map[string]Record
 	results map[string]storedResult
 
-	endpoints map[ident.HostID]Endpoint
-	replicas  map[ident.Index]Replica
-	used      map[ident.HostID]int64         // bytes of all replicas by endpoint
-	byTarget  map[ident.Target][]ident.Index // in order of decision
-	where     map[spot]ident.Index
-	byHost    map[ident.HostID][]ident.Index
-	stated    map[ident.Target]Statement // what the records in force say of each target
+	endpoints   map[ident.HostID]Endpoint
+	replicas    map[ident.Index]Replica
+	used        map[ident.HostID]int64         // bytes of all replicas by endpoint
+	byTarget    map[ident.Target][]ident.Index // in order of decision
+	byPlacement map[placement]ident.Index
+	byHost      map[ident.HostID][]ident.Index
+	stated      map[ident.Target]Statement // requirements of each target, from the records in force
 
 	claims   map[ClaimKey]Claim
 	expiry   map[int64][]ClaimKey // minute of expiry to keys
@@ -41,26 +41,27 @@
 	deployed Deployment
 	holder   holder.Record
 	poison   poison.Registry
-	suspects *poison.Book // requests under which endpoints ended, as entries noted
+	suspects *poison.Book // requests under which endpoints ended, as reported by entries
 
-	changes []Change // of the command being applied
+	changes []Change // made by the command being applied
 }
 
-// spot is a target at an endpoint; at most one replica is decided for it.
-type spot struct {
+// placement is a target on a host; it has at most one replica.
+type placement struct {
 	target ident.Target
 	host   ident.HostID
 }
 
-// storedResult is the first answer to an operator request. The content of a
-// conflict is kept by reference to its revision, so a million answers stay small.
+// storedResult is the first answer to an operator request. Of a conflict it keeps
+// the record's name and revision instead of its content, so that a million answers
+// stay small.
 type storedResult struct {
 	Code     Code        `json:"code"`
 	Index    ident.Index `json:"index"`
 	Revision ident.Index `json:"revision,omitempty"`
 	Message  string      `json:"message,omitempty"`
 	Name     string      `json:"name,omitempty"`
-	Digest   uint64      `json:"digest"` // of the request, to notice an id used for something else
+	Digest   uint64      `json:"digest"` // of the request, to detect a reused request id
 }
 
 // New returns an empty State.
@@ -68,23 +69,24 @@
 	return &State{
 		records: map[string]Record{}, results: map[string]storedResult{},
 		endpoints: map[ident.HostID]Endpoint{}, replicas: map[ident.Index]Replica{},
-		where: map[spot]ident.Index{}, byHost: map[ident.HostID][]ident.Index{},
+		byPlacement: map[placement]ident.Index{}, byHost: map[ident.HostID][]ident.Index{},
 		used: map[ident.HostID]int64{}, byTarget: map[ident.Target][]ident.Index{}, stated: map[ident.Target]Statement{},
 		claims: map[ClaimKey]Claim{}, expiry: map[int64][]ClaimKey{}, open: map[ClaimKey]struct{}{},
 		history: keepalive.NewHistory(), suspects: poison.NewBook(),
 	}
 }
 
-// Index returns the index of the last applied entry.
+// Index returns the log index of the last applied entry.
 func (s *State) Index() ident.Index { return s.index }
 
-// Config returns the index of the last record change: the configuration in force.
+// Config returns the log index of the last record change, which identifies the
+// configuration in force.
 func (s *State) Config() ident.Index { return s.config }
 
-// Now returns the time of the last command.
+// Now returns the newest time of any command applied so far.
 func (s *State) Now() time.Time { return s.now }
 
-// History returns the keep-alive statistics. The caller only reads them.
+// History returns the keep-alive statistics. The caller must not modify them.
 func (s *State) History() *keepalive.History { return s.history }
 
 // Record returns the record with the given name.
@@ -113,16 +115,17 @@
 	return r, ok
 }
 
-// Replicas returns all replicas ordered by id.
+// Replicas returns all replicas ordered by ID.
 func (s *State) Replicas() []Replica { return sortedValues(s.replicas) }
 
-// Used returns the bytes granted at an endpoint.
+// Used returns the bytes granted to replicas on host h.
 func (s *State) Used(h ident.HostID) int64 { return s.used[h] }
 
-// Count returns the number of replicas of a target that are decided.
+// Count returns the number of replicas of a target, in any phase.
 func (s *State) Count(t ident.Target) int { return len(s.byTarget[t]) }
 
-// Sold returns the largest number of replicas of a target that may be decided.
+// Sold returns the maximum number of replicas of a target. An adapter has the
+// maximum of its base model.
 func (s *State) Sold(t ident.Target) int { return s.stated[t.Base()].Max }
 
 // Claim returns the claim under key.
@@ -131,10 +134,11 @@
 	return c, ok
 }
 
-// Claims returns the number of claims kept.
+// Claims returns the number of claims, open and settled.
 func (s *State) Claims() int { return len(s.claims) }
 
-// Audit returns the kept audit events, oldest first. The caller only reads them.
+// Audit returns the retained audit events, oldest first. The caller must not modify
+// them.
 func (s *State) Audit() []AuditEvent { return s.audit }
 
 func sortedValues[K ident.HostID | ident.Index | string, V any](m map[K]V) []V {
@@ -159,8 +163,8 @@
 	return &c
 }
 
-// image is the encoded form of a State. Sums and sets are rebuilt on reading:
-// a state that can be derived is not stored a second time.
+// image is the encoded form of a State. Derived sums and indexes are not stored;
+// Decode rebuilds them.
 type image struct {
 	Index     ident.Index             `json:"index"`
 	Config    ident.Index             `json:"config"`
@@ -178,7 +182,7 @@
 	Suspects  []poison.Case           `json:"suspects,omitempty"`
 }
 
-// Encode returns the state in the form that Decode reads.
+// Encode returns the state as JSON for Decode.
 func (s *State) Encode() ([]byte, error) {
 	im := image{Index: s.index, Config: s.config, Now: s.now, Records: s.Records(), Results: s.results,
 		Endpoints: s.Endpoints(), Replicas: s.Replicas(), Audit: s.audit, History: s.history, Holder: s.holder, Poison: s.poison, Suspects: s.suspects.Cases()}
@@ -191,7 +195,8 @@
 	return json.Marshal(im)
 }
 
-// Decode reads an encoded State. Empty data is an empty State.
+// Decode returns the State that Encode wrote; empty data gives an empty State. It
+// fails if the data is malformed or a record is not readable by this release.
 func Decode(data []byte) (*State, error) {
 	s := New()
 	if len(data) == 0 {
@@ -223,13 +228,13 @@
 		s.endpoints[e.Host] = e
 	}
 	for _, r := range im.Replicas {
-		s.count(r, +1)
+		s.updateIndexes(r, +1)
 		s.replicas[r.ID] = r
 	}
 	for _, c := range im.Claims {
 		s.putClaim(c)
 	}
-	s.restate()
+	s.recomputeStatements()
 	return s, nil
 }
 
@@ -245,30 +250,31 @@
 	return nil
 }
 
-// ByHost returns the ids of the replicas at an endpoint, in order. The caller
-// only reads them.
+// ByHost returns the IDs of the replicas on host h in ascending order. The caller
+// must not modify the slice.
 func (s *State) ByHost(h ident.HostID) []ident.Index { return s.byHost[h] }
 
-// count adds or removes a replica from the sums and indexes.
-func (s *State) count(r Replica, sign int) {
-	at := spot{r.Target, r.Host}
+// updateIndexes adds a replica to the sums and indexes, or removes it if sign is
+// negative.
+func (s *State) updateIndexes(r Replica, sign int) {
+	key := placement{r.Target, r.Host}
 	s.used[r.Host] += int64(sign) * r.Bytes
 	if s.used[r.Host] == 0 {
 		delete(s.used, r.Host)
 	}
 	if sign > 0 {
-		s.where[at] = r.ID
+		s.byPlacement[key] = r.ID
 		addTo(s.byHost, r.Host, r.ID)
 		addTo(s.byTarget, r.Target, r.ID)
 		return
 	}
-	delete(s.where, at)
+	delete(s.byPlacement, key)
 	dropFrom(s.byHost, r.Host, r.ID)
 	dropFrom(s.byTarget, r.Target, r.ID)
 }
 
-// addTo inserts id in order. A new slice is made where the old one may be
-// shared, so that a caller who ranges over it sees it unchanged.
+// addTo inserts id in ascending order. It replaces the slice instead of changing it
+// in place, because a caller may be ranging over the old one.
 func addTo[K comparable](m map[K][]ident.Index, k K, id ident.Index) {
 	at, _ := slices.BinarySearch(m[k], id)
 	m[k] = slices.Insert(slices.Clone(m[k]), at, id)
@@ -282,8 +288,8 @@
 	m[k] = slices.DeleteFunc(slices.Clone(m[k]), func(x ident.Index) bool { return x == id })
 }
 
-// Check asserts the promises that hold after every command: memory is never
-// overcommitted by decisions, and no sum has gone astray.
+// Check panics if an invariant that holds after every command is violated: grants
+// never overcommit an endpoint's memory, and the sums agree with the replicas.
 func (s *State) Check() {
 	used := map[ident.HostID]int64{}
 	counts := map[ident.Target]int{}
@@ -302,22 +308,22 @@
 	}
 }
 
-// invariant stops the process: what it checks is false only if the program is
-// wrong, and going on would act on a state that other hosts do not share.
+// invariant panics if ok is false. That is always a bug, and continuing would act on
+// a state that differs from that of other hosts.
 func invariant(ok bool, format string, args ...any) {
 	if !ok {
 		panic("invariant: state: " + fmt.Sprintf(format, args...))
 	}
 }
 
-// EachReplica calls f for every replica, in no particular order.
+// EachReplica calls f for every replica in unspecified order.
 func (s *State) EachReplica(f func(Replica)) {
 	for _, r := range s.replicas {
 		f(r)
 	}
 }
 
-// EachEndpoint calls f for every endpoint, in no particular order.
+// EachEndpoint calls f for every endpoint in unspecified order.
 func (s *State) EachEndpoint(f func(Endpoint)) {
 	for _, e := range s.endpoints {
 		f(e)
--- a/internal/core/state/state_test.go
+++ b/internal/core/state/state_test.go
@@ -14,24 +14,24 @@
 
 var start = time.Unix(1000, 0).UTC()
 
-// machine applies commands one after the other.
-type machine struct {
+// testState applies commands in sequence, with a clock that the test sets.
+type testState struct {
 	*State
 	now time.Time
 }
 
-func newMachine() *machine { return &machine{New(), start} }
+func newTestState() *testState { return &testState{New(), start} }
 
-func (m *machine) do(c Command) Result {
+func (m *testState) do(c Command) Result {
 	c.Time = m.now
 	res, _ := m.Apply(m.Index()+1, c)
 	m.Check()
 	return res
 }
 
-func text(most int, bytes int64) record.Text {
+func recordText(maxReplicas int, bytes int64) record.Text {
 	key := record.FormatDigest(record.DigestKey("k"))
-	return record.Text(fmt.Sprintf("{\"schemaVersion\":1,\n  \"service\":\"s\",\"place\":\"p\",\"firstAnswer\":\"1s\",\"replicas\":{\"min\":0,\"max\":%d},\"customers\":[{\"name\":\"c\",\"keyDigests\":[%q],\"replicasSold\":1,\"ratePerSecond\":1}],\"models\":[{\"name\":\"m\",\"version\":\"1\",\"bytes\":%d,\"adapters\":[{\"name\":\"a\",\"version\":\"1\",\"bytes\":5}]}]}", most, key, bytes))
+	return record.Text(fmt.Sprintf("{\"schemaVersion\":1,\n  \"service\":\"s\",\"place\":\"p\",\"firstAnswer\":\"1s\",\"replicas\":{\"min\":0,\"max\":%d},\"customers\":[{\"name\":\"c\",\"keyDigests\":[%q],\"replicasSold\":1,\"ratePerSecond\":1}],\"models\":[{\"name\":\"m\",\"version\":\"1\",\"bytes\":%d,\"adapters\":[{\"name\":\"a\",\"version\":\"1\",\"bytes\":5}]}]}", maxReplicas, key, bytes))
 }
 
 var (
@@ -39,34 +39,34 @@
 	adapter = ident.Target{Model: "m", Version: "1", Adapter: "a", AdapterVersion: "1"}
 )
 
-func (m *machine) endpoint(h ident.HostID, memory int64) Result {
+func (m *testState) endpoint(h ident.HostID, memory int64) Result {
 	return m.do(Command{Endpoint: &EndpointSet{Endpoint: Endpoint{Host: h, Incarnation: 1, Place: "p", Memory: memory, Up: true}}})
 }
 
-func (m *machine) grant(t ident.Target, h ident.HostID) Result {
+func (m *testState) grant(t ident.Target, h ident.HostID) Result {
 	return m.do(Command{Grant: &Grant{Target: t, Host: h}})
 }
 
 func TestGrantsKeepWithinMemoryAndWhatWasSold(t *testing.T) {
 	is := is.New(t)
-	m := newMachine()
+	m := newTestState()
 	is.Equal(m.grant(base, "a").Code, NotFound)
-	m.do(Command{Submit: &Submit{Request: "1", Raw: text(2, 60)}})
+	m.do(Command{Submit: &Submit{Request: "1", Raw: recordText(2, 60)}})
 	is.Equal(m.grant(base, "a").Code, Unavailable)
 	for _, h := range []ident.HostID{"a", "b", "c"} {
 		m.endpoint(h, 200)
 	}
 	m.endpoint("small", 50)
-	is.Equal(m.grant(adapter, "a").Code, Unavailable) // no base there
+	is.Equal(m.grant(adapter, "a").Code, Unavailable) // its base model is not there
 	is.Equal(m.grant(base, "small").Code, OverMemory)
 	first := m.grant(base, "a")
 	is.Equal(first.Code, OK)
 	is.Equal(m.grant(base, "a").Code, OverDecided)
 	is.Equal(m.grant(adapter, "a").Code, OK)
 	is.Equal(m.grant(base, "b").Code, OK)
-	is.Equal(m.grant(base, "c").Code, OverDecided) // two were sold
+	is.Equal(m.grant(base, "c").Code, OverDecided) // the maximum is two
 	is.Equal(m.Used("a"), int64(65))
-	// A base that is gone takes its adapter along, and its slot is free.
+	// Removing a base replica removes its adapter and makes another grant possible.
 	is.Equal(m.do(Command{Replica: &ReplicaSet{ID: first.Revision, Gone: true}}).Code, OK)
 	is.Equal(m.Count(adapter), 0)
 	is.Equal(m.grant(base, "c").Code, OK)
@@ -74,8 +74,8 @@
 
 func TestForgettingAnEndpointFreesItsReplicas(t *testing.T) {
 	is := is.New(t)
-	m := newMachine()
-	m.do(Command{Submit: &Submit{Request: "1", Raw: text(1, 60)}})
+	m := newTestState()
+	m.do(Command{Submit: &Submit{Request: "1", Raw: recordText(1, 60)}})
 	m.endpoint("a", 100)
 	m.grant(base, "a")
 	is.Equal(m.do(Command{Forget: &EndpointForget{Host: "a", Incarnation: 7}}).Code, Stale)
@@ -86,21 +86,21 @@
 
 func TestRecordsAreKeptAsWrittenAndChangesAreAudited(t *testing.T) {
 	is := is.New(t)
-	m := newMachine()
-	first := m.do(Command{By: "ann", Submit: &Submit{Request: "1", Raw: text(1, 60)}})
-	second := m.do(Command{By: "bob", Submit: &Submit{Request: "2", Base: first.Revision, Raw: text(2, 60), Reason: "more sold"}})
+	m := newTestState()
+	first := m.do(Command{By: "ann", Submit: &Submit{Request: "1", Raw: recordText(1, 60)}})
+	second := m.do(Command{By: "bob", Submit: &Submit{Request: "2", Base: first.Revision, Raw: recordText(2, 60), Reason: "more sold"}})
 	is.Equal(second.Code, OK)
-	lost := m.do(Command{By: "eve", Submit: &Submit{Request: "3", Base: first.Revision, Raw: text(3, 60)}})
-	is.Equal(lost.Code, Conflict)
-	is.Equal(lost.Present.Raw, text(2, 60))
+	conflicting := m.do(Command{By: "eve", Submit: &Submit{Request: "3", Base: first.Revision, Raw: recordText(3, 60)}})
+	is.Equal(conflicting.Code, Conflict)
+	is.Equal(conflicting.Present.Raw, recordText(2, 60))
 	raw, err := m.Encode()
 	is.NoErr(err)
 	back, err := Decode(raw)
 	is.NoErr(err)
 	r, _ := back.Record("s")
-	is.Equal(r.Raw, text(2, 60)) // spaces and line ends included
+	is.Equal(r.Raw, recordText(2, 60)) // spaces and line ends included
 	is.Equal(back.Sold(base), 2)
-	again, _ := back.Apply(back.Index()+1, Command{Submit: &Submit{Request: "1", Raw: text(1, 60)}})
+	again, _ := back.Apply(back.Index()+1, Command{Submit: &Submit{Request: "1", Raw: recordText(1, 60)}})
 	is.True(again.Resent) // after a snapshot too
 	is.Equal(again.Revision, first.Revision)
 	e := back.Audit()[1]
@@ -108,25 +108,25 @@
 	is.Equal(e.Action, ActionRevise)
 	is.Equal(e.Before, first.Revision)
 	is.Equal(e.Reason, "more sold")
-	other, _ := back.Apply(back.Index()+1, Command{Submit: &Submit{Request: "1", Raw: text(9, 60)}})
+	other, _ := back.Apply(back.Index()+1, Command{Submit: &Submit{Request: "1", Raw: recordText(9, 60)}})
 	is.Equal(other.Code, Invalid)
 	is.True(strings.Contains(other.Message, "used"))
 }
 
 func TestAKeyLeadsToOneCustomer(t *testing.T) {
 	is := is.New(t)
-	m := newMachine()
-	m.do(Command{Submit: &Submit{Request: "1", Raw: text(1, 60)}})
-	foreign := record.Text(strings.NewReplacer(`"service":"s"`, `"service":"t"`, `"name":"c"`, `"name":"d"`).Replace(string(text(1, 60))))
+	m := newTestState()
+	m.do(Command{Submit: &Submit{Request: "1", Raw: recordText(1, 60)}})
+	foreign := record.Text(strings.NewReplacer(`"service":"s"`, `"service":"t"`, `"name":"c"`, `"name":"d"`).Replace(string(recordText(1, 60))))
 	is.Equal(m.do(Command{Submit: &Submit{Request: "2", Raw: foreign}}).Code, Invalid)
 }
 
-// Symptom: a request under a key runs again, or its key is held for ever.
-// Sequence: the entry dies with the claim open; repeats come; time passes.
-// Cause: only time can tell that an open claim's request has ended.
+// An entry that fails with a claim open never settles it, so only time shows that the
+// request has ended. If the claim ended too early, a repeat would run the request again;
+// if it never ended, the key would be held forever.
 func TestClaimsEndByThemselves(t *testing.T) {
 	is := is.New(t)
-	m := newMachine()
+	m := newTestState()
 	k := ClaimKey{Customer: "c", Service: "s", Key: "1"}
 	open := func(req ident.RequestID) Result {
 		return m.do(Command{Open: &OpenClaim{Key: k, Digest: "d", Request: req, Within: time.Minute}})
@@ -149,9 +149,9 @@
 	is.Equal(open("r3").Code, OK)
 }
 
-func TestAnUnknownEndIsNotTakenBack(t *testing.T) {
+func TestUnknownClaimIsNotReleasedAsNotRun(t *testing.T) {
 	is := is.New(t)
-	m := newMachine()
+	m := newTestState()
 	k := ClaimKey{Customer: "c", Service: "s", Key: "1"}
 	m.do(Command{Open: &OpenClaim{Key: k, Digest: "d", Request: "r", Within: time.Minute}})
 	m.do(Command{Settle: &SettleClaim{Key: k, Request: "r", Unknown: true}})
--- a/internal/core/state/statement.go
+++ b/internal/core/state/statement.go
@@ -8,55 +8,55 @@
 	"github.com/cassiapass/cassiapass/internal/core/record"
 )
 
-// Statement is what all records in force say of one target together.
+// Statement is the requirements of one target, aggregated over all records in force.
 type Statement struct {
-	Bytes       int64         // the largest stated
-	Min, Max    int           // summed over the records, because each sold its own share
-	FirstAnswer time.Duration // the tightest promise
-	Weight      float64       // the largest weight for tail cold-start time
+	Bytes       int64         // largest size in any record
+	Min, Max    int           // replicas, summed over the records: each sells its own replicas
+	FirstAnswer time.Duration // shortest in any record
+	Weight      float64       // largest weight of tail cold-start time in any record
 	Places      []string
 }
 
-// Stated returns what the records say of a target, and false if none states it.
+// Stated returns the requirements of a target, and false if no record in force names it.
 func (s *State) Stated(t ident.Target) (Statement, bool) {
 	st, ok := s.stated[t]
 	return st, ok
 }
 
-// EachStated calls f for every stated target, in no particular order.
+// EachStated calls f for every target of the records in force, in unspecified order.
 func (s *State) EachStated(f func(ident.Target, Statement)) {
 	for t, st := range s.stated {
 		f(t, st)
 	}
 }
 
-// restate recomputes the statements from the records.
-func (s *State) restate() {
+// recomputeStatements aggregates the requirements of all targets from the records.
+func (s *State) recomputeStatements() {
 	clear(s.stated)
 	for _, r := range s.records {
 		if r.service == nil {
 			continue
 		}
 		for i := range r.service.Models {
-			s.stateModel(r.service, &r.service.Models[i])
+			s.addModel(r.service, &r.service.Models[i])
 		}
 	}
 }
 
-func (s *State) stateModel(svc *record.Service, m *record.Model) {
+func (s *State) addModel(svc *record.Service, m *record.Model) {
 	base := ident.Target{Model: m.Name, Version: m.Version}
-	s.stateTarget(svc, m, base, m.Bytes, m.MinReplicas)
+	s.addTarget(svc, m, base, m.Bytes, m.MinReplicas)
 	for _, a := range m.Adapters {
 		t := base
 		t.Adapter, t.AdapterVersion = a.Name, a.Version
-		s.stateTarget(svc, m, t, a.Bytes, 0)
+		s.addTarget(svc, m, t, a.Bytes, 0)
 	}
 }
 
-func (s *State) stateTarget(svc *record.Service, m *record.Model, t ident.Target, bytes int64, atLeast int) {
+func (s *State) addTarget(svc *record.Service, m *record.Model, t ident.Target, bytes int64, minReplicas int) {
 	st, seen := s.stated[t]
 	st.Bytes = max(st.Bytes, bytes)
-	st.Min += atLeast
+	st.Min += minReplicas
 	st.Max += m.MaxReplicas
 	st.Weight = max(st.Weight, svc.Weight)
 	if !seen || m.FirstAnswer < st.FirstAnswer {
--- a/internal/core/state/types.go
+++ b/internal/core/state/types.go
@@ -8,7 +8,7 @@
 	"github.com/cassiapass/cassiapass/internal/core/record"
 )
 
-// Record is one service record as it stands.
+// Record is one service record at its newest revision.
 type Record struct {
 	Name      string      `json:"name"`
 	Revision  ident.Index `json:"revision"` // index of the last change; the base for the next one
@@ -27,28 +27,28 @@
 	Addr        string            `json:"addr"` // agent's address for entries, ip:port
 	Zone        ident.Zone        `json:"zone"`
 	Place       string            `json:"place"`
-	Memory      int64             `json:"memory"`           // bytes of accelerator memory that replicas may take
-	Slots       int               `json:"slots"`            // requests that the engine runs at once
+	Memory      int64             `json:"memory"`           // bytes of accelerator memory available to replicas
+	Slots       int               `json:"slots"`            // requests that the engine runs concurrently
 	Serves      string            `json:"serves,omitempty"` // plain service behind this endpoint, instead of an engine
 	Up          bool              `json:"up"`               // lease held
 	Leaving     bool              `json:"leaving,omitempty"`
 	Revision    ident.Index       `json:"revision"`
 }
 
-// ReplicaPhase tells how far a replica is.
+// ReplicaPhase is a replica's position in its life cycle.
 type ReplicaPhase string
 
-// The phases. Every phase counts towards memory and towards the decided
-// number; a replica stops counting only when it is removed.
+// The phases. A replica in any phase counts towards the granted memory and the
+// number of replicas; it stops counting only when it is removed.
 const (
 	Granted  ReplicaPhase = "granted"  // decided; the agent may load it
-	Ready    ReplicaPhase = "ready"    // loaded, takes requests
-	Draining ReplicaPhase = "draining" // takes no new requests; to be unloaded
+	Ready    ReplicaPhase = "ready"    // loaded; accepts requests
+	Draining ReplicaPhase = "draining" // accepts no new requests; will be unloaded
 )
 
 // Replica is one decided replica: the grant that permits its load.
 type Replica struct {
-	ID       ident.Index  `json:"id"` // index of the decision; also the fencing number
+	ID       ident.Index  `json:"id"` // log index of the grant; also the fencing token
 	Target   ident.Target `json:"target"`
 	Host     ident.HostID `json:"host"`
 	Bytes    int64        `json:"bytes"`
@@ -58,14 +58,14 @@
 	Revision ident.Index  `json:"revision"`
 }
 
-// ClaimKey names an idempotency key.
+// ClaimKey identifies an idempotency key within a customer and service.
 type ClaimKey struct {
 	Customer ident.Customer `json:"customer"`
 	Service  string         `json:"service"`
 	Key      string         `json:"key"`
 }
 
-// ClaimPhase tells how the request under a key ended.
+// ClaimPhase is the state of the request that holds an idempotency key.
 type ClaimPhase string
 
 // The phases of a claim.
@@ -89,21 +89,21 @@
 	Digest   string          `json:"digest"` // of the request's method, path and body
 	Request  ident.RequestID `json:"request"`
 	Phase    ClaimPhase      `json:"phase"`
-	Deadline time.Time       `json:"deadline"` // after it an open claim becomes unknown
+	Deadline time.Time       `json:"deadline"` // an open claim becomes unknown ClaimGrace after it
 	Answer   *Answer         `json:"answer,omitempty"`
 	Expires  time.Time       `json:"expires"`
 }
 
-// Bounds of what the state keeps.
+// Limits of what the state keeps.
 const (
 	MaxAnswer      = 16 << 10         // bytes of a recorded answer
 	ClaimRetention = time.Hour        // from the claim's settlement
 	ClaimGrace     = 10 * time.Second // added to a request's deadline before an open claim becomes unknown
 	MaxAudit       = 20000            // audit events kept; older ones are in the logs
-	MaxClaims      = 2_000_000        // open and settled; more are refused as not run
+	MaxClaims      = 2_000_000        // open and settled; further requests are refused as not run
 )
 
-// AuditEvent is one line of the audit trail.
+// AuditEvent is one event of the audit trail.
 type AuditEvent struct {
 	Index   ident.Index  `json:"index"`
 	Time    time.Time    `json:"time"`
@@ -117,7 +117,7 @@
 	Content record.Text  `json:"content,omitempty"`
 }
 
-// Action names what an audit event tells.
+// Action is the kind of change that an audit event records.
 type Action string
 
 // The audited actions.
@@ -131,12 +131,12 @@
 	ActionRemove   Action = "remove"
 	ActionEndpoint Action = "endpoint"
 	ActionDeploy   Action = "deploy"
-	// Of requests under which endpoints end, see package poison.
+	// Quarantine of requests that end endpoints, see package poison.
 	ActionQuarantine Action = "quarantine"
 	ActionLift       Action = "lift"
 )
 
-// Change is one change of the state as subscribers see it.
+// Change is one change of the state as it is published to subscribers.
 type Change struct {
 	Index    ident.Index  `json:"index"`
 	Record   *Record      `json:"record,omitempty"`
@@ -145,6 +145,6 @@
 	Replica  *Replica     `json:"replica,omitempty"`
 	Removed  ident.Index  `json:"removed,omitempty"` // replica that was removed
 	Host     ident.HostID `json:"host,omitempty"`    // where the removed replica was
-	// Poison is all that is to be known of quarantined requests.
+	// Poison is the complete registry of quarantined requests.
 	Poison *poison.Registry `json:"poison,omitempty"`
 }
