--- a/internal/core/consensus/clients_test.go
+++ b/internal/core/consensus/clients_test.go
@@ -12,7 +12,8 @@
 	"github.com/cassiapass/cassiapass/internal/core/state"
 )
 
-type wait struct {
+// proposal is a command that a client waits for.
+type proposal struct {
 	term uint64
 	c    *client
 	try  int
@@ -43,7 +44,7 @@
 	rev  ident.Index // new revision, or the one in force
 }
 
-// register is the model that operator answers are checked against.
+// register is the sequential model that operator answers are checked against.
 var register = porcupine.Model{
 	Init: func() any { return ident.Index(0) },
 	Step: func(s, in, out any) (bool, any) {
@@ -78,7 +79,7 @@
 
 const opsPerClient = 12
 
-// drive lets a client begin, resend or finish a call.
+// drive makes a client start, resend or finish a call.
 func (s *sim) drive(c *client) {
 	if c.busy && c.read {
 		s.driveRead(c)
@@ -119,10 +120,10 @@
 		c.deadline = s.now + 3
 		return
 	}
-	n.waits[index] = &wait{term: n.node.Term(), c: c, try: c.try}
+	n.proposals[index] = &proposal{term: n.node.Term(), c: c, try: c.try}
 }
 
-// driveRead reads through a quorum at any member.
+// driveRead performs a quorum read at a random member.
 func (s *sim) driveRead(c *client) {
 	if n := c.reading; n != nil && n.up && c.readAt > 0 && uint64(n.st.Index()) >= c.readAt {
 		rec, _ := n.st.Record("a")
@@ -144,15 +145,15 @@
 		c.reading = nil
 	}
 	// An answer to an earlier round of this client must not count for this one.
-	for old, who := range n.reads {
-		if who == c && old != ctx {
+	for old, owner := range n.reads {
+		if owner == c && old != ctx {
 			delete(n.reads, old)
 		}
 	}
 }
 
-// subscribe lets a subscriber take a full copy from any member. The view panics
-// if its configuration would go back.
+// subscribe resets the subscriber's view to a full copy from a random member. The view
+// panics if its configuration would go back.
 func (s *sim) subscribe() {
 	n := s.nodes[s.r.IntN(len(s.nodes))]
 	if !n.up || s.r.IntN(4) != 0 {
--- a/internal/core/consensus/election.go
+++ b/internal/core/consensus/election.go
@@ -1,6 +1,6 @@
 package consensus
 
-// becomeFollower joins term under leader lead, which may be None.
+// becomeFollower makes this member a follower of lead, which may be None, in term.
 func (n *Node) becomeFollower(term uint64, lead NodeID) {
 	if term > n.term {
 		n.term = term
@@ -8,7 +8,7 @@
 	}
 	n.role = Follower
 	n.lead = lead
-	n.met = n.met || lead != None
+	n.leaderSeen = n.leaderSeen || lead != None
 	n.elapsed = 0
 	n.transfer = None
 	n.progress = nil
@@ -45,8 +45,8 @@
 	if m.Type == MsgPreVote {
 		resp = MsgPreVoteResp
 	}
-	free := n.vote == m.From || (n.vote == None && n.lead == None) || (m.Type == MsgPreVote && m.Term > n.term)
-	if !free || !n.log.upToDate(m.LogTerm, m.Index) {
+	canVote := n.vote == m.From || (n.vote == None && n.lead == None) || (m.Type == MsgPreVote && m.Term > n.term)
+	if !canVote || !n.log.upToDate(m.LogTerm, m.Index) {
 		n.send(Message{Type: resp, To: m.From, Reject: true})
 		return
 	}
@@ -99,7 +99,7 @@
 func (n *Node) becomeLeader() {
 	invariant(n.vote == n.id, "leader did not vote for itself", n.term, uint64(n.vote))
 	n.role = Leader
-	n.lead, n.met = n.id, true
+	n.lead, n.leaderSeen = n.id, true
 	n.elapsed, n.heartbeat = 0, 0
 	n.transfer = None
 	n.reads = nil
@@ -107,8 +107,8 @@
 	for _, m := range n.membership.Members {
 		n.progress[m.ID] = &progress{voter: m.Voter, next: n.log.lastIndex() + 1, probing: true, active: true}
 	}
-	// Unapplied membership entries may be among the old entries: no change
-	// before they are settled.
+	// The old entries may include unapplied membership changes: no further change
+	// is accepted before all of them are applied.
 	n.lastChange = n.log.lastIndex()
 	n.appendEntry(EntryNoop, nil)
 	n.Flush()
--- a/internal/core/consensus/large_test.go
+++ b/internal/core/consensus/large_test.go
@@ -6,7 +6,8 @@
 	"github.com/cassiapass/cassiapass/internal/core/consensus"
 )
 
-// slowPeer is a leader of three and what it sends to member 2, whose heartbeats pass.
+// slowPeer is the leader of a group of three. The test decides when appends are
+// acknowledged; heartbeats are always answered.
 type slowPeer struct {
 	t *testing.T
 	n *consensus.Node
@@ -29,7 +30,7 @@
 	return s
 }
 
-// sent returns the bytes of entries that go to member 2 now.
+// sent carries out the pending work and returns the bytes of entries sent to member 2.
 func (s slowPeer) sent() (bytes int) {
 	for {
 		rd := s.n.Ready()
@@ -50,7 +51,7 @@
 	}
 }
 
-// propose appends an entry and returns the bytes that go out at once.
+// propose appends an entry and returns the bytes sent to member 2 immediately.
 func (s slowPeer) propose(size int) int {
 	s.t.Helper()
 	if _, err := s.n.Propose(make([]byte, size)); err != nil {
@@ -60,7 +61,7 @@
 	return s.sent()
 }
 
-// acknowledge has both other members hold the log up to index.
+// acknowledge makes both other members acknowledge the log up to index.
 func (s slowPeer) acknowledge(index uint64) {
 	for _, id := range []consensus.NodeID{2, 3} {
 		s.n.Step(consensus.Message{Type: consensus.MsgAppendResp, From: id, To: 1, Term: s.n.Term(), Index: index})
@@ -68,45 +69,43 @@
 	s.sent()
 }
 
-// quiet returns after how many ticks something is sent anew, most at the most.
-func (s slowPeer) quiet(most int) int {
-	for tick := 1; tick <= most; tick++ {
+// ticksToResend returns the number of ticks until entries are sent again, or maxTicks+1.
+func (s slowPeer) ticksToResend(maxTicks int) int {
+	for tick := 1; tick <= maxTicks; tick++ {
 		s.n.Tick()
 		if s.sent() > 0 {
 			return tick
 		}
 	}
-	return most + 1
+	return maxTicks + 1
 }
 
-// resend is after how many ticks a small append counts as lost.
-const resend = 20
+// resendTicks is the number of ticks after which a small append counts as lost.
+const resendTicks = 20
 
-// Symptom: a large entry crosses a slow link again and again and is never acknowledged
-// in time.
-// Sequence: a leader proposes an entry of 2 MB; heartbeats pass meanwhile; the append is
-// under way for longer than the time after which a small one counts as lost.
-// Cause: it was sent anew after 20 ticks whatever its size, behind the first copy.
+// An entry of 2 MB is under way on a slow link for longer than the 20 ticks after which a
+// small append counts as lost, while heartbeats pass. If it were sent again after 20 ticks
+// regardless of its size, copies would queue up behind the first one and none would be
+// acknowledged in time.
 func TestLargeAppendIsNotSentAnewWhileItIsUnderWay(t *testing.T) {
 	const size = 2 << 20
 	const slowest = 32 << 10 // bytes a tick: 0.6 MB/s at 50 ms a tick
 	s := newSlowPeer(t)
 	if sent := s.propose(size); sent != size {
-		t.Fatalf("%d bytes sent at once", sent)
+		t.Fatalf("%d bytes sent immediately", sent)
 	}
-	after := s.quiet(10 * size / slowest)
+	after := s.ticksToResend(10 * size / slowest)
 	if after < size/slowest {
-		t.Fatalf("sent anew after %d ticks, while it is under way", after)
+		t.Fatalf("sent again after %d ticks, while it is under way", after)
 	}
-	if after > size/slowest+2*resend { // it may be lost after all
-		t.Fatalf("not sent anew after %d ticks", after)
+	if after > size/slowest+2*resendTicks { // by then it may have been lost
+		t.Fatalf("not sent again after %d ticks", after)
 	}
 }
 
-// Symptom: a small change is not decided for half a minute after a connection broke.
-// Sequence: one acknowledgement is lost; 3 MB of small entries are written and
-// acknowledged as usual; the last append is lost.
-// Cause: what the lost acknowledgement covered, and all after it, counted as under way.
+// One acknowledgement is lost, 3 MB of small entries are acknowledged as usual, then the
+// last append is lost. If the entries of the lost acknowledgement and all later ones
+// counted as under way, the last append would be sent again only after half a minute.
 func TestLostAcknowledgementDelaysNoLaterResend(t *testing.T) {
 	const writes, size = 300, 10 << 10
 	s := newSlowPeer(t)
@@ -116,7 +115,7 @@
 			s.acknowledge(3 + i)
 		}
 	}
-	if after := s.quiet(10 * resend); after > 2*resend {
-		t.Fatalf("sent anew after %d ticks", after)
+	if after := s.ticksToResend(10 * resendTicks); after > 2*resendTicks {
+		t.Fatalf("sent again after %d ticks", after)
 	}
 }
--- a/internal/core/consensus/log.go
+++ b/internal/core/consensus/log.go
@@ -2,7 +2,7 @@
 
 // raftLog is the part of the log after the newest snapshot, in memory.
 type raftLog struct {
-	snap    Snapshot // Index and Term of the entry before entries[0]; Data for slow members
+	snap    Snapshot // Index and Term of the entry before entries[0]; Data for members that lag behind it
 	entries []Entry
 	synced  uint64 // last index that the owner has synced
 	commit  uint64
@@ -16,7 +16,7 @@
 	return t
 }
 
-// term returns the term at index i, and false if i is compacted or not there.
+// term returns the term at index i, and false if i is compacted or beyond the log.
 func (l *raftLog) term(i uint64) (uint64, bool) {
 	if i == l.snap.Index {
 		return l.snap.Term, true
@@ -27,9 +27,10 @@
 	return l.entries[i-l.snap.Index-1].Term, true
 }
 
-// slice returns entries from..to inclusive, cut at maxBytes but never empty
-// when from exists. The result is a copy of the slice header only; entries are
-// never changed in place, a conflicting tail is replaced by a new array.
+// slice returns the entries from..to inclusive, truncated at maxBytes, but at least
+// one entry if from exists. The result shares the array with the log. That is safe
+// because entries are never changed in place: a conflicting tail is replaced by a
+// new array.
 func (l *raftLog) slice(from, to uint64, maxBytes int) []Entry {
 	if from > to || from <= l.snap.Index {
 		return nil
@@ -45,7 +46,7 @@
 	return ents[:len(ents):len(ents)]
 }
 
-// bytes returns the size of the entries from..to inclusive, of those that are there.
+// bytes returns the data size of the entries from..to inclusive that are in the log.
 func (l *raftLog) bytes(from, to uint64) int {
 	size := 0
 	for i := max(from, l.snap.Index+1); i <= min(to, l.lastIndex()); i++ {
@@ -54,7 +55,7 @@
 	return size
 }
 
-// append adds leader entries at the end.
+// append adds entries of this leader at the end.
 func (l *raftLog) append(ents ...Entry) {
 	l.entries = append(l.entries, ents...)
 }
@@ -70,14 +71,14 @@
 		if e.Index <= l.snap.Index {
 			continue
 		}
-		// Replacing a committed entry would lose a decision that was
-		// acknowledged; only a broken invariant elsewhere can lead here.
+		// Replacing a committed entry would lose an acknowledged change; only a
+		// bug elsewhere can cause it.
 		invariant(e.Index > l.commit, "replace of committed entry", e.Index, l.commit)
 		if e.Index > l.lastIndex() {
 			l.entries = append(l.entries, ents[i:]...)
 			return ents[i:]
 		}
-		// A new array: slices of the old one may still be on their way to disk.
+		// A new array, because slices of the old one may still be being written to disk.
 		keep := l.entries[:e.Index-l.snap.Index-1]
 		l.entries = append(keep[:len(keep):len(keep)], ents[i:]...)
 		if l.synced >= e.Index {
@@ -88,8 +89,8 @@
 	return nil
 }
 
-// upToDate reports whether a log that ends at (term, index) holds everything
-// that this log may have committed.
+// upToDate reports whether a log that ends at (term, index) is at least as up to
+// date as this one.
 func (l *raftLog) upToDate(term, index uint64) bool {
 	lt := l.lastTerm()
 	return term > lt || (term == lt && index >= l.lastIndex())
--- a/internal/core/consensus/node.go
+++ b/internal/core/consensus/node.go
@@ -6,28 +6,30 @@
 )
 
 const (
-	entryOverhead  = 16      // bytes counted per entry beside its data
+	entryOverhead  = 16      // bytes counted per entry in addition to its data
 	maxAppendBytes = 1 << 20 // bytes of entries in one append
-	maxInflight    = 64      // appends under way to one member
+	maxInflight    = 64      // unanswered appends to one member
 	maxUncommitted = 16384   // proposals that may wait for the quorum
-	resendTicks    = 20      // ticks after which an unanswered append is sent anew
-	// resendBytes is how many bytes more it may hold for each tick more: 0.6 MB/s with
-	// ticks of 50 ms, a third of what each of seven members gets of a link of 100 Mbit/s.
-	// A large entry would otherwise be sent anew while it is on its way, for ever.
+	resendTicks    = 20      // ticks after which an unanswered append is sent again
+	// resendBytes extends the resend time by one tick for each so many bytes under way:
+	// 0.6 MB/s with ticks of 50 ms, a third of the share of each of seven members in a
+	// link of 100 Mbit/s. Otherwise a large entry would be sent again, forever, while
+	// its first copy is still under way.
 	resendBytes = 32 << 10
 )
 
-// Config is what a Node is made from.
+// Config is the settings and the stored state of a Node.
 type Config struct {
 	ID            NodeID
-	ElectionTicks int // a follower campaigns after this many to twice as many silent ticks
-	// StartTicks takes the place of ElectionTicks from the start of the process until a
-	// leader is heard; 0 for ElectionTicks. It may be short: members that hear a leader
-	// ignore who asks for a vote, so that it costs nothing while one leads.
+	ElectionTicks int // a follower campaigns after one to two times this many ticks without a leader
+	// StartTicks replaces ElectionTicks from the start of the process until the first
+	// message of a leader; 0 means ElectionTicks. It may be short: members that receive
+	// messages of a leader ignore vote requests, so an early campaign has no effect
+	// while there is a leader.
 	StartTicks     int
 	HeartbeatTicks int             // ticks between heartbeats to voters
 	ObserverTicks  int             // ticks between heartbeats to non-voting members
-	Rand           func(n int) int // uniform in [0,n); handed in so that runs repeat
+	Rand           func(n int) int // uniform in [0,n); injected so that runs are reproducible
 	HardState      HardState       // as read from disk
 	Snapshot       Snapshot        // as read from disk; the zero Snapshot is an empty log
 	Entries        []Entry         // as read from disk, following Snapshot
@@ -47,19 +49,19 @@
 	lastChange uint64 // index of the newest membership entry applied or appended
 	lastAdded  NodeID // member that the newest change added or promoted
 
-	elapsed   int // ticks since the last sign of a leader, or of the last quorum check
-	heartbeat int
-	timeout   int  // randomised election timeout
-	met       bool // a leader was heard, or this member led, since the process began
-	ballots   map[NodeID]bool
-	progress  map[NodeID]*progress
-	transfer  NodeID
+	elapsed    int // ticks since the last message of the leader or, at a leader, the last quorum check
+	heartbeat  int
+	timeout    int  // randomised election timeout
+	leaderSeen bool // this member had a leader, or led, since the process started
+	ballots    map[NodeID]bool
+	progress   map[NodeID]*progress
+	transfer   NodeID
 
 	reads []pendingRead
 	round uint64
 
 	savedHard HardState
-	unstable  uint64 // first index not yet handed out to be synced
+	unstable  uint64 // first index not yet returned by Ready to be synced
 	early     []Message
 	out       []Message
 	readDone  []ReadState
@@ -73,7 +75,7 @@
 	n.log.snap = cfg.Snapshot
 	n.log.entries = cfg.Entries
 	n.log.commit = max(cfg.HardState.Commit, cfg.Snapshot.Index)
-	// Commit may be older than what was applied before the crash but never
+	// Commit may be older than the last index applied before the crash but never
 	// newer than the log on disk, because both are written in one batch.
 	invariant(n.log.commit <= n.log.lastIndex(), "commit beyond log", n.log.commit, n.log.lastIndex())
 	n.log.applied = cfg.Snapshot.Index
@@ -121,7 +123,7 @@
 // Leader returns the leader known to this member, or None.
 func (n *Node) Leader() NodeID { return n.lead }
 
-// Role returns the part that this member plays in the present term.
+// Role returns this member's role in the present term.
 func (n *Node) Role() Role { return n.role }
 
 // IsLeader reports whether this member leads its term.
@@ -137,16 +139,16 @@
 	return n.role == Leader && ok && t == n.term
 }
 
-// Applied returns the index of the last entry handed out to be applied and
-// confirmed by Advance.
+// Applied returns the index of the last entry whose application Advance has
+// confirmed.
 func (n *Node) Applied() uint64 { return n.log.applied }
 
-// Ready takes out the work that has come up since the last call.
+// Ready returns the work that is pending since the last call.
 func (n *Node) Ready() Ready {
 	var rd Ready
 	hs := HardState{Term: n.term, Vote: n.vote, Commit: n.log.commit}
-	// The commit index alone is not worth a sync: it is learned again from
-	// the leader. It travels along when something else is synced.
+	// A change of the commit index alone is not synced: after a restart the
+	// leader sends it again. It is written whenever something else is synced.
 	if hs.Term != n.savedHard.Term || hs.Vote != n.savedHard.Vote || n.unstable <= n.log.lastIndex() {
 		rd.HardState = &hs
 		n.savedHard = hs
@@ -161,8 +163,8 @@
 	rd.Early, n.early = n.early, nil
 	rd.Messages, n.out = n.out, nil
 	rd.Reads, n.readDone = n.readDone, nil
-	// Only synced entries are applied here: a member never acts on what it
-	// could lose in a crash, even when the quorum holds it.
+	// Only entries synced here are applied: a member never acts on an entry
+	// that it could lose in a crash, even if a quorum holds it.
 	if to := min(n.log.commit, max(n.log.synced, n.unstable-1)); to > n.log.applied {
 		rd.Committed = n.log.slice(n.log.applied+1, to, 4*maxAppendBytes)
 	}
@@ -205,7 +207,7 @@
 	return s, true
 }
 
-// Tick moves time on by one unit.
+// Tick advances time by one tick.
 func (n *Node) Tick() {
 	n.elapsed++
 	if n.role == Leader {
@@ -223,16 +225,16 @@
 	}
 }
 
-// observerPatience is how many heartbeats to observers are missed before the leader
-// counts as gone there.
-const observerPatience = 4
+// observerMissedHeartbeats is the number of missed heartbeats after which an observer
+// drops its leader.
+const observerMissedHeartbeats = 4
 
-// tickObserver forgets a leader that is not heard any more. Symptom without it: a host
-// without a vote that was removed while it was cut off believes for ever that it
-// follows, and never asks to be a member again; entries that ask it are sent to a
-// leader of long ago.
+// tickObserver drops a leader that no longer sends heartbeats. Without this, a host
+// without a vote that was removed while it was partitioned would consider itself a
+// follower forever and never ask to join again, and would redirect entries to a former
+// leader.
 func (n *Node) tickObserver() {
-	if n.elapsed >= observerPatience*n.cfg.ObserverTicks {
+	if n.elapsed >= observerMissedHeartbeats*n.cfg.ObserverTicks {
 		n.lead = None
 	}
 }
@@ -240,10 +242,10 @@
 func (n *Node) tickLeader() {
 	if n.elapsed >= n.cfg.ElectionTicks {
 		n.elapsed = 0
-		n.transfer = None // a hand-over that did not end in time is given up
-		// A leader cut off by a silent partition would go on answering for a
-		// group that has moved on; it notices the silence here by its own
-		// clock and steps down.
+		n.transfer = None // a transfer that did not finish in time is aborted
+		// A leader cut off by a partition would otherwise continue to answer
+		// for a group that has a newer leader. It steps down if, by its own
+		// clock, no quorum has answered for an election timeout.
 		if !n.quorumActive() {
 			n.becomeFollower(n.term, None)
 			return
@@ -268,8 +270,8 @@
 	if p.waited < resendTicks+p.bytes/resendBytes {
 		return
 	}
-	// An append or snapshot was lost: without this the member would stay
-	// paused for ever.
+	// An append or snapshot was lost. Without a resend the member would stay
+	// paused forever.
 	p.waited, p.inflight, p.bytes, p.snapshot = 0, 0, 0, 0
 	p.next = p.match + 1
 	p.probing = true
@@ -278,14 +280,14 @@
 
 func (n *Node) resetTimeout() {
 	ticks := n.cfg.ElectionTicks
-	if !n.met && n.cfg.StartTicks > 0 {
+	if !n.leaderSeen && n.cfg.StartTicks > 0 {
 		ticks = n.cfg.StartTicks
 	}
 	n.timeout = ticks + n.cfg.Rand(ticks)
 }
 
-// Propose appends a command and returns its index. The command is decided only
-// when it comes back in Ready.Committed with the same term.
+// Propose appends a command and returns its index. The command is committed only
+// if Ready.Committed returns it at that index with the same term.
 func (n *Node) Propose(data []byte) (index uint64, err error) {
 	if n.role != Leader {
 		return 0, ErrNotLeader
@@ -305,7 +307,7 @@
 	return i
 }
 
-// Flush sends what was proposed since the last call. Calling it once per batch
+// Flush sends the entries proposed since the last call. Calling it once per batch
 // gives group commit: one append per member and one sync for many proposals.
 func (n *Node) Flush() {
 	if n.role != Leader {
@@ -320,17 +322,17 @@
 	if n.role != Leader {
 		return 0, ErrNotLeader
 	}
-	// One change at a time keeps any two majorities, before and after,
-	// overlapping. The member changed last must also hold the log: otherwise
-	// two quick repairs could leave a quorum in which nobody has the data
-	// when a second host is lost right after the first repair.
+	// With one change at a time, any majority before a change overlaps with any
+	// majority after it. The member changed last must also hold the log: otherwise
+	// two quick repairs could leave a quorum in which no member has the data if
+	// a second host is lost right after the first repair.
 	if n.lastChange > n.log.applied {
 		return 0, ErrChangePending
 	}
 	if p, ok := n.progress[n.lastAdded]; ok && n.lastAdded != n.id && !remove && p.match < n.lastChange {
 		return 0, ErrMemberBehind
 	}
-	next, err := n.changed(mem, remove)
+	next, err := n.membershipWith(mem, remove)
 	if err != nil {
 		return 0, err
 	}
@@ -341,7 +343,7 @@
 	return i, nil
 }
 
-func (n *Node) changed(mem Member, remove bool) (Membership, error) {
+func (n *Node) membershipWith(mem Member, remove bool) (Membership, error) {
 	old, known := n.membership.Find(mem.ID)
 	if remove {
 		if !known {
@@ -378,7 +380,7 @@
 	invariant(err == nil, "membership entry cannot be decoded", e.Index, 0)
 	for _, mem := range m.Members {
 		if mem.Volatile {
-			continue // no quorum ever rests on it, so no change need wait for it
+			continue // never part of a quorum, so no change has to wait for it
 		}
 		if old, ok := n.membership.Find(mem.ID); !ok || old.Voter != mem.Voter {
 			n.lastAdded = mem.ID
@@ -414,8 +416,8 @@
 	}
 }
 
-// Transfer asks a caught-up voter to take over at once; a planned stop uses it
-// so that the group is without a leader for one round trip only.
+// Transfer asks a voter to take over leadership as soon as it has caught up. A
+// planned stop uses it so that the group has no leader for only one round trip.
 func (n *Node) Transfer(to NodeID) error {
 	p, ok := n.progress[to]
 	if n.role != Leader {
@@ -456,14 +458,15 @@
 	n.out = append(n.out, m)
 }
 
-// sendEarly queues a message that promises nothing about this member's disk.
+// sendEarly queues a message that does not depend on this member's disk and may
+// be sent before the sync.
 func (n *Node) sendEarly(m Message) {
 	m.From, m.Term = n.id, n.term
 	n.early = append(n.early, m)
 }
 
-// invariant stops the process: what it checks cannot be false unless the
-// program itself is wrong, and going on could lose decisions.
+// invariant panics if ok is false. That is always a bug, and continuing could
+// lose committed entries.
 func invariant(ok bool, what string, a, b uint64) {
 	if !ok {
 		panic(fmt.Sprintf("invariant: consensus: %s (%d, %d)", what, a, b))
--- a/internal/core/consensus/progress.go
+++ b/internal/core/consensus/progress.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// progress is what a leader knows about one other member's log.
+// progress is a leader's view of one member's log.
 type progress struct {
 	voter    bool
 	match    uint64 // highest index known to be synced there
 	next     uint64 // next index to send
 	inflight int    // appends sent and not yet answered
-	bytes    int    // of entries or of a snapshot sent and not known to be synced there
+	bytes    int    // size of the entries or snapshot sent and not known to be synced there
 	probing  bool   // one append at a time until the first success
-	snapshot uint64 // index of a snapshot on its way, 0 if none
-	waited   int    // ticks since anything was sent while waiting
-	active   bool   // heard from since the last check of the quorum
+	snapshot uint64 // index of a snapshot under way, 0 if none
+	waited   int    // ticks spent waiting for an answer
+	active   bool   // has answered since the last check of the quorum
 }
 
 // paused reports whether the leader must wait for an answer before sending
-// more. Without a bound a slow member would make the leader queue its whole
-// log in the transport.
+// more. Without this limit the leader would queue its whole log in the transport
+// for a slow member.
 func (p *progress) paused() bool {
 	if p.snapshot != 0 {
 		return true
@@ -28,8 +28,8 @@
 	return p.inflight >= maxInflight
 }
 
-// accepted records an acknowledgement up to index.
-// bytes is the size of the entries that it covers for the first time.
+// accepted records an acknowledgement up to index. bytes is the size of the entries
+// that no earlier acknowledgement covered.
 func (p *progress) accepted(index uint64, bytes int) {
 	if p.inflight > 0 {
 		p.inflight--
@@ -46,14 +46,14 @@
 	}
 	p.bytes = max(0, p.bytes-bytes)
 	if p.match+1 == p.next {
-		// All that was sent is there. An acknowledgement that was lost counts as under
-		// way until here, and what it covered as bytes.
+		// Everything sent is acknowledged. Appends whose acknowledgement was lost, and
+		// their bytes, have counted as under way until now.
 		p.inflight, p.bytes = 0, 0
 	}
 	p.probing = false
 }
 
-// rejected moves next back after a refused append that ended at prev.
+// rejected moves next back after a rejected append whose entries followed index prev.
 func (p *progress) rejected(prev, hint uint64) {
 	p.inflight, p.bytes = 0, 0
 	p.waited = 0
@@ -64,8 +64,8 @@
 	p.probing = true
 }
 
-// eachPeer calls f for every other member that this leader follows, in the order of the
-// membership: in the order of a map no seeded run could be played again.
+// eachPeer calls f for every other member whose progress this leader tracks, in the order
+// of the membership. In the order of the map, seeded runs would not be reproducible.
 func (n *Node) eachPeer(f func(NodeID, *progress)) {
 	for _, m := range n.membership.Members {
 		if p, ok := n.progress[m.ID]; ok && m.ID != n.id {
@@ -94,8 +94,8 @@
 	return matches[(len(matches)-1)/2]
 }
 
-// quorumActive reports whether a majority of voters, this one included, was
-// heard from since the last call, and starts a new period.
+// quorumActive reports whether a majority of voters, including this one, has
+// answered since the last call, and starts a new period.
 func (n *Node) quorumActive() bool {
 	active, voters := 0, 0
 	for id, p := range n.progress {
--- a/internal/core/consensus/random_test.go
+++ b/internal/core/consensus/random_test.go
@@ -18,7 +18,7 @@
 	"github.com/cassiapass/cassiapass/internal/core/view"
 )
 
-// mutation removes one safeguard, to show that the run notices.
+// mutation removes one safeguard, to show that the checks detect its absence.
 type mutation string
 
 const (
@@ -28,8 +28,8 @@
 	loseResend mutation = "a resend is carried out again"
 )
 
-// sim is one seeded run of a control group of pure nodes with a network that
-// loses, repeats, delays, reorders and partitions, and disks that lose what was
+// sim is one seeded run of a control group of nodes. Its network loses, duplicates,
+// delays and reorders messages and can be partitioned; its disks lose data that was
 // not synced.
 type sim struct {
 	r       *rand.Rand
@@ -51,20 +51,20 @@
 
 // simNode is one member with its disk.
 type simNode struct {
-	id     consensus.NodeID
-	node   *consensus.Node
-	st     *state.State
-	up     bool
-	paused int // iterations without ticks: a clock pause
-	hs     consensus.HardState
-	snap   consensus.Snapshot
-	ents   []consensus.Entry
-	waits  map[uint64]*wait
-	reads  map[uint64]*client
-	lost   []consensus.Entry // entries that a broken disk would lose
+	id        consensus.NodeID
+	node      *consensus.Node
+	st        *state.State
+	up        bool
+	paused    int // iterations without ticks: a clock pause
+	hs        consensus.HardState
+	snap      consensus.Snapshot
+	ents      []consensus.Entry
+	proposals map[uint64]*proposal
+	reads     map[uint64]*client
+	lost      []consensus.Entry // entries that a broken disk would lose
 }
 
-// repair replaces a member that lost its disk, as an operator would.
+// repair is the replacement of a member that lost its disk, as by an operator.
 type repair struct {
 	old, fresh consensus.NodeID
 }
@@ -75,7 +75,7 @@
 	for i := range voters {
 		m = m.With(consensus.Member{ID: consensus.NodeID(i + 1), Voter: true})
 	}
-	m = m.With(consensus.Member{ID: consensus.NodeID(voters + 1)}) // an observer
+	m = m.With(consensus.Member{ID: consensus.NodeID(voters + 1)}) // a non-voting member
 	for _, mem := range m.Members {
 		n := &simNode{id: mem.ID, snap: consensus.Bootstrap(m)}
 		s.start(n)
@@ -94,7 +94,7 @@
 		panic(err)
 	}
 	n.st, n.up = st, true
-	n.waits, n.reads = map[uint64]*wait{}, map[uint64]*client{}
+	n.proposals, n.reads = map[uint64]*proposal{}, map[uint64]*client{}
 	n.node = consensus.New(consensus.Config{
 		ID: n.id, ElectionTicks: 10, StartTicks: 3, HeartbeatTicks: 2, ObserverTicks: 4, Rand: s.r.IntN,
 		HardState: n.hs, Snapshot: n.snap, Entries: slices.Clone(n.ents),
@@ -115,7 +115,7 @@
 		n.hs.Commit = min(n.hs.Commit, n.snap.Index+uint64(keep))
 	}
 	n.lost = nil
-	for _, w := range n.waits {
+	for _, w := range n.proposals {
 		w.c.deadline = s.now
 	}
 	for _, c := range n.reads {
@@ -123,8 +123,8 @@
 	}
 }
 
-// save is the disk: entries first, then the hard state, like disklog writes
-// them. It returns false if the host crashed inside.
+// save writes to the disk, entries first and then the hard state, as disklog does.
+// It returns false if the host crashed during the write.
 func (s *sim) save(n *simNode, ents []consensus.Entry, hs *consensus.HardState) bool {
 	torn := s.chance(0.01)
 	if torn {
@@ -144,7 +144,7 @@
 	return true
 }
 
-// process carries out a node's work, crashing at every boundary now and then.
+// process carries out a node's pending work. The node may crash between any two steps.
 func (s *sim) process(n *simNode) {
 	n.node.Flush()
 	for n.up {
@@ -200,8 +200,8 @@
 		} else {
 			n.st.Skip(ident.Index(e.Index))
 		}
-		if w, ok := n.waits[e.Index]; ok {
-			delete(n.waits, e.Index)
+		if w, ok := n.proposals[e.Index]; ok {
+			delete(n.proposals, e.Index)
 			if w.term == e.Term && w.try == w.c.try && w.c.busy {
 				s.answer(w.c, res)
 			}
@@ -275,7 +275,7 @@
 	s.subscribe()
 }
 
-// deliver hands over messages in any order, some twice, some never.
+// deliver delivers messages in random order, some of them twice and some never.
 func (s *sim) deliver() {
 	s.r.Shuffle(len(s.net), func(i, j int) { s.net[i], s.net[j] = s.net[j], s.net[i] })
 	keep := s.net[:0:0]
@@ -301,7 +301,7 @@
 	s.net = keep
 }
 
-// partition cuts links now and then, one way or both.
+// partition occasionally cuts all links of one member, in one direction or both.
 func (s *sim) partition() {
 	if s.calm || s.chance(0.01) {
 		clear(s.cut)
@@ -336,8 +336,9 @@
 	}
 }
 
-// repairSome takes a member's disk away when everybody else is well and
-// replaces it: a new member joins, is promoted, and the old one is removed.
+// repairSome occasionally removes a voter together with its disk and replaces it: a
+// new member joins, is promoted, and the old one is removed. There is one repair at
+// a time.
 func (s *sim) repairSome() {
 	lead := s.leader()
 	if lead == nil {
@@ -366,10 +367,10 @@
 		return
 	}
 	m := lead.node.Status().Membership
-	mem, there := m.Find(r.fresh)
+	mem, joined := m.Find(r.fresh)
 	_, old := m.Find(r.old)
 	switch {
-	case !there:
+	case !joined:
 		_, _ = lead.node.ProposeMembership(consensus.Member{ID: r.fresh}, false)
 	case !mem.Voter:
 		_, _ = lead.node.ProposeMembership(consensus.Member{ID: r.fresh, Voter: true}, false)
@@ -380,7 +381,7 @@
 	}
 }
 
-// run returns the first violation found.
+// run executes one seeded run and returns the first violation found.
 func run(seed uint64, voters int, mut mutation) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -417,7 +418,7 @@
 	return true
 }
 
-// seeds returns how many seeds to run: a fixed set in CI, more on request.
+// seeds returns the number of seeds to run: CASSIAPASS_SEEDS if it is set, else ci.
 func seeds(ci int) int {
 	if n, err := strconv.Atoi(os.Getenv("CASSIAPASS_SEEDS")); err == nil {
 		return n
@@ -425,11 +426,10 @@
 	return ci
 }
 
-// Symptom: an acknowledged change is lost, reverted or answered twice.
-// Sequence: messages lost, repeated, late and out of order; one-way and two-way
-// partitions; clock pauses; crashes at every sync boundary; disks lost and
-// hosts replaced.
-// Cause looked for: any break of the rules of the log, with 3 and 5 voters.
+// Checks that no acknowledged change is lost, reverted or applied twice, with 3 and 5
+// voters, under lost, duplicated, delayed and reordered messages, one-way and two-way
+// partitions, clock pauses, crashes at every sync boundary, and replacement of hosts
+// that lost their disks.
 func TestRandomRunsKeepEveryDecision(t *testing.T) {
 	for _, voters := range []int{3, 5} {
 		t.Run(fmt.Sprint(voters, " voters"), func(t *testing.T) {
@@ -443,8 +443,8 @@
 	}
 }
 
-// A check that cannot fail proves nothing: each safeguard is turned off in turn
-// and the same runs must notice.
+// Shows that the checks can fail: each safeguard is disabled in turn, and the same runs
+// must detect it.
 func TestRandomRunsNoticeMissingSafeguards(t *testing.T) {
 	for _, mut := range []mutation{loseVotes, loseSync, loseResend} {
 		t.Run(string(mut), func(t *testing.T) {
@@ -455,7 +455,7 @@
 					return
 				}
 			}
-			t.Fatal("no run noticed")
+			t.Fatal("no run detected the missing safeguard")
 		})
 	}
 }
--- a/internal/core/consensus/readindex.go
+++ b/internal/core/consensus/readindex.go
@@ -2,17 +2,17 @@
 
 // pendingRead waits until a majority has confirmed that this member still led
 // when the read arrived. Without that round a deposed leader could answer from
-// a state that the group has left behind.
+// outdated state.
 type pendingRead struct {
 	context uint64
-	from    NodeID // asking member; the leader itself for local reads
+	from    NodeID // requesting member; the leader itself for local reads
 	round   uint64
 	acks    map[NodeID]bool
 }
 
-// ReadIndex asks for the index that a read must wait for. The answer comes in
-// Ready.Reads under the same context; it may never come, so the owner asks
-// again after a timeout. A false result means that no leader is known.
+// ReadIndex requests the index that must be applied before a read is answered. The
+// index is returned in Ready.Reads under the same context; the answer may be lost, so
+// the owner retries after a timeout. ReadIndex returns false if no leader is known.
 func (n *Node) ReadIndex(context uint64) bool {
 	if n.role == Leader {
 		n.queueRead(n.id, context)
@@ -48,7 +48,7 @@
 	n.releaseReads()
 }
 
-// ackRead counts an answer for its round and every earlier one.
+// ackRead counts a heartbeat answer for its round and every earlier one.
 func (n *Node) ackRead(from NodeID, round uint64) {
 	p := n.progress[from]
 	if !p.voter {
@@ -62,7 +62,7 @@
 	n.releaseReads()
 }
 
-// releaseReads answers the reads at the front that a majority has confirmed.
+// releaseReads answers the oldest reads, as far as a majority has confirmed them.
 func (n *Node) releaseReads() {
 	// Before the first commit of its own term a new leader may not know the
 	// newest commit index of the group.
@@ -79,8 +79,9 @@
 		}
 		n.send(Message{Type: MsgReadIndexResp, To: r.from, Context: r.context, Index: n.log.commit})
 		if p, ok := n.progress[r.from]; ok && !p.voter {
-			// It hears of commits with its rare heartbeats only, and the read waits
-			// for this one: 0.5 s without the next one sent now, 1 ms with it.
+			// A non-voting member gets new commit indexes with its infrequent
+			// heartbeats only, and the read waits for that index: 0.5 s without
+			// a heartbeat sent now, 1 ms with it.
 			n.sendHeartbeat(r.from, p, n.round)
 		}
 	}
--- a/internal/core/consensus/start_test.go
+++ b/internal/core/consensus/start_test.go
@@ -6,11 +6,11 @@
 	"github.com/cassiapass/cassiapass/internal/core/consensus"
 )
 
-// Symptom: a member campaigns after 0.13 s without a heartbeat, where followers wait
-// for 0.4 s and more, and helps to depose a leader that only sends a large entry.
-// Sequence: a process starts, votes in the first term and hears the leader of that term.
-// Cause: the timeout drawn at the start, 3 to 6 ticks until a leader is heard, was drawn
-// anew only at a change of term or role, and the member had neither.
+// A process starts, votes in the first term and then receives a message from the leader of
+// that term. Its start timeout of 3 to 6 ticks must be replaced then, although neither its
+// term nor its role changes. Otherwise it campaigns after 0.13 s without a heartbeat, where
+// followers wait for 0.4 s and more, and helps to depose a leader that is only busy
+// sending a large entry.
 func TestMemberThatHeardItsFirstLeaderWaitsAFullTimeout(t *testing.T) {
 	const electionTicks, startTicks = 10, 3
 	var m consensus.Membership
@@ -26,11 +26,11 @@
 	for tick := range electionTicks - 1 {
 		n.Tick()
 		if n.Role() != consensus.Follower {
-			t.Fatalf("campaigns after %d ticks of silence; it has heard a leader and waits %d", tick+1, electionTicks)
+			t.Fatalf("campaigns after %d ticks of silence; with a leader seen, want %d", tick+1, electionTicks)
 		}
 	}
 	n.Tick()
 	if n.Role() != consensus.PreCandidate {
-		t.Fatalf("it is %v after %d ticks of silence", n.Role(), electionTicks)
+		t.Fatalf("role is %v after %d ticks of silence", n.Role(), electionTicks)
 	}
 }
--- a/internal/core/consensus/step.go
+++ b/internal/core/consensus/step.go
@@ -1,6 +1,6 @@
 package consensus
 
-// Step feeds one received message to the Node.
+// Step processes one received message.
 func (n *Node) Step(m Message) {
 	if m.To != n.id {
 		return
@@ -18,13 +18,13 @@
 	case MsgPreVoteResp, MsgVoteResp:
 		n.stepBallot(m)
 	case MsgAppend:
-		n.heardLeader(m)
+		n.acceptLeader(m)
 		n.stepAppend(m)
 	case MsgHeartbeat:
-		n.heardLeader(m)
+		n.acceptLeader(m)
 		n.stepHeartbeat(m)
 	case MsgSnapshot:
-		n.heardLeader(m)
+		n.acceptLeader(m)
 		n.stepSnapshot(m)
 	case MsgAppendResp:
 		n.stepAppendResp(m)
@@ -43,15 +43,15 @@
 // is to be handled further.
 func (n *Node) stepNewerTerm(m Message) bool {
 	if m.Type == MsgPreVote || m.Type == MsgVote {
-		// While a leader is heard from, a member that was merely cut off
-		// must not be able to depose it by coming back with a larger term.
+		// While there is a live leader, a member that was only partitioned
+		// must not be able to depose it by returning with a higher term.
 		if !m.Transfer && n.lead != None && n.elapsed < n.cfg.ElectionTicks {
 			return false
 		}
 	}
 	switch {
 	case m.Type == MsgPreVote:
-		// A pre-vote asks about a term that nobody has begun.
+		// A pre-vote asks about a term that has not begun.
 	case m.Type == MsgPreVoteResp && !m.Reject:
 		// A granted pre-vote carries the term that was asked about.
 	case m.Type == MsgAppend || m.Type == MsgHeartbeat || m.Type == MsgSnapshot:
@@ -62,8 +62,8 @@
 	return true
 }
 
-// stepOlderTerm answers a message from a past term where silence would leave
-// its sender stuck.
+// stepOlderTerm answers a message from a past term if its sender could not make
+// progress without an answer.
 func (n *Node) stepOlderTerm(m Message) {
 	switch m.Type {
 	case MsgAppend, MsgHeartbeat, MsgSnapshot:
@@ -74,12 +74,13 @@
 	}
 }
 
-func (n *Node) heardLeader(m Message) {
+func (n *Node) acceptLeader(m Message) {
 	invariant(n.role != Leader, "two leaders in one term", n.term, uint64(m.From))
-	// A member that hears its first leader draws its timeout anew also where neither its
-	// role nor its term changes: it voted for that leader. Symptom otherwise: it keeps the
-	// short timeout of a start for good and campaigns after 0.13 s without a heartbeat.
-	if n.role != Follower || !n.met {
+	// On the first message of its first leader a member draws a new timeout even if
+	// neither its role nor its term changes because it voted for that leader. Otherwise
+	// it would keep the short timeout of a start and campaign after 0.13 s without a
+	// heartbeat.
+	if n.role != Follower || !n.leaderSeen {
 		n.becomeFollower(m.Term, m.From)
 	}
 	n.lead = m.From
@@ -88,7 +89,7 @@
 
 func (n *Node) stepAppend(m Message) {
 	if m.Index < n.log.commit {
-		// A delayed duplicate: what it holds is already decided here.
+		// A delayed duplicate: its entries are already committed here.
 		n.send(Message{Type: MsgAppendResp, To: m.From, Index: n.log.commit})
 		return
 	}
@@ -105,7 +106,7 @@
 }
 
 func (n *Node) stepHeartbeat(m Message) {
-	// m.Commit is capped by the leader to what this member is known to hold.
+	// The leader caps m.Commit at the last index that it knows this member to hold.
 	n.setCommit(min(m.Commit, n.log.lastIndex()))
 	n.send(Message{Type: MsgHeartbeatResp, To: m.From, Context: m.Context, Index: n.log.lastIndex()})
 }
@@ -197,9 +198,9 @@
 	n.sendEarly(Message{Type: MsgHeartbeat, To: to, Commit: commit, Context: round})
 }
 
-// advanceCommit moves the commit index to what a majority holds. Only entries
-// of the present term are counted (Raft 5.4.2): an older entry held by a
-// majority can still be replaced by a leader that never saw it.
+// advanceCommit moves the commit index to the highest index that a majority
+// holds. Only entries of the present term are counted (Raft 5.4.2): an older
+// entry held by a majority can still be replaced by a leader that never had it.
 func (n *Node) advanceCommit() {
 	q := n.quorumMatch()
 	t, ok := n.log.term(q)
@@ -208,8 +209,8 @@
 	}
 	n.log.commit = q
 	n.releaseReads()
-	// Members learn the new commit index now rather than at the next
-	// heartbeat: configuration in force waits for it.
+	// Send the new commit index now rather than with the next heartbeat:
+	// members need it to put a new configuration in force.
 	n.eachPeer(func(id NodeID, p *progress) {
 		if p.next > n.log.lastIndex() {
 			n.sendEarly(Message{Type: MsgHeartbeat, To: id, Commit: min(p.match, q)})
--- a/internal/core/consensus/types.go
+++ b/internal/core/consensus/types.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// NodeID names one member. It is drawn anew whenever a data folder is created,
-// so a host that lost its disk cannot come back under an identity whose votes
-// it has forgotten.
+// NodeID identifies one member. A new one is drawn whenever a data folder is
+// created, so that a host that lost its disk cannot rejoin under an identity
+// whose votes it no longer has.
 type NodeID uint64
 
 // None is the absent NodeID.
 const None NodeID = 0
 
-// EntryKind tells what an Entry carries.
+// EntryKind is the kind of payload that an Entry carries.
 type EntryKind uint8
 
 // The kinds of entries.
@@ -31,7 +31,7 @@
 	Data  []byte    `json:"d,omitempty"`
 }
 
-// HardState is what a member must never forget.
+// HardState is the state that a member must keep across restarts.
 type HardState struct {
 	Term   uint64 `json:"term"`
 	Vote   NodeID `json:"vote"`
@@ -43,12 +43,12 @@
 	ID    NodeID `json:"id"`
 	Addr  string `json:"addr"`
 	Voter bool   `json:"voter"`
-	// Volatile members hold the log in memory only. They never vote: after a
-	// restart they would not remember it.
+	// Volatile members hold the log in memory only. They never vote, because a
+	// restart would lose their votes.
 	Volatile bool `json:"volatile,omitempty"`
 }
 
-// Membership is the whole list of members, ordered by ID.
+// Membership is the complete list of members, ordered by ID.
 type Membership struct {
 	Members []Member `json:"members"`
 }
@@ -76,7 +76,7 @@
 	return out
 }
 
-// Without returns a copy that lacks the member with the given id.
+// Without returns a copy in which the member with the given id is removed.
 func (m Membership) Without(id NodeID) Membership {
 	out := Membership{}
 	for _, mem := range m.Members {
@@ -106,7 +106,7 @@
 	Data       []byte     `json:"data"`
 }
 
-// MessageType tells what a Message asks or answers.
+// MessageType is the kind of a Message.
 type MessageType uint8
 
 // The message types.
@@ -125,7 +125,7 @@
 	MsgTimeoutNow
 )
 
-// Message travels between members. Unused fields are zero.
+// Message is sent from one member to another. Unused fields are zero.
 type Message struct {
 	Type     MessageType `json:"y"`
 	From     NodeID      `json:"f"`
@@ -138,23 +138,23 @@
 	Reject   bool        `json:"r,omitempty"`
 	Hint     uint64      `json:"h,omitempty"` // last index of a member that rejected an append
 	Context  uint64      `json:"x,omitempty"` // read-index round
-	Transfer bool        `json:"v,omitempty"` // vote asked for by a leadership transfer
+	Transfer bool        `json:"v,omitempty"` // vote requested during a leadership transfer
 	Snapshot *Snapshot   `json:"s,omitempty"`
 }
 
-// ReadState answers one ReadIndex call: everything up to Index was committed
-// when the call was made.
+// ReadState answers one ReadIndex call: Index covers everything that was
+// committed when the call was made.
 type ReadState struct {
 	Context uint64
 	Index   uint64
 }
 
-// Ready is the work that a Node hands to its owner. See the package comment
-// for the order in which it must be carried out.
+// Ready is the pending work that a Node returns to its owner. See the package
+// comment for the order in which it must be carried out.
 type Ready struct {
 	HardState *HardState // nil when unchanged
 	Entries   []Entry    // to append; an index at or below the last one replaces the tail
-	Snapshot  *Snapshot  // received; replaces log and state
+	Snapshot  *Snapshot  // received from the leader; replaces log and state
 	Early     []Message
 	Messages  []Message
 	Committed []Entry // to apply, in order
@@ -167,7 +167,7 @@
 		len(r.Early) == 0 && len(r.Messages) == 0 && len(r.Committed) == 0 && len(r.Reads) == 0
 }
 
-// Role is the part that a Node plays in its term.
+// Role is a Node's role in its term.
 type Role uint8
 
 // The roles.
@@ -183,7 +183,7 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Outcomes of proposals. They are values for the owner to act on.
+// Errors of proposals and transfers, for the owner to compare with.
 var (
 	ErrNotLeader      = errors.New("this member is not the leader")
 	ErrTransferring   = errors.New("leadership is being handed over")
