--- a/internal/core/contact/book.go
+++ b/internal/core/contact/book.go
@@ -7,167 +7,170 @@
 	"github.com/cassiapass/cassiapass/internal/core/consensus"
 )
 
-// Standing is a host's place in its group.
+// Standing is a host's relation to its group.
 type Standing uint8
 
 // The standings.
 const (
-	// Lost: it is no member, or has heard no leader for long.
+	// Lost: it is not a member, or has had no leader for long.
 	Lost Standing = iota
-	// Follows: it is a member that hears a leader.
+	// Follows: it is a member and has a leader.
 	Follows
-	// Leads: it leads.
+	// Leads: it is the leader.
 	Leads
 )
 
 const (
-	// lostEvery is the time between two greetings of a lost host to one address, and
-	// leadsEvery and followsEvery those of members. A restarted host without a disk is
-	// back in the group after an election of 0.8 s, one greeting of the leader and one
-	// request to join: within 3 s, of the 12 s after which callers must be served again.
-	lostEvery    = 500 * time.Millisecond
-	leadsEvery   = time.Second
-	followsEvery = 2 * time.Second
-	// rarest bounds how rarely an address that does not answer is greeted: each
-	// further greeting waits for half the time since it was last heard.
-	rarest = 5 * time.Second
-	// tellFor is how long an address is told to others after it was last heard. Told
-	// for longer, addresses of dead hosts would be passed around for ever.
-	tellFor = time.Minute
-	// keepFor is how long an address is kept that is not heard. It outlasts
-	// partitions and power losses of minutes by far.
+	// lostInterval is the minimum time between two greetings of a lost host to the same
+	// address; leaderInterval and followerInterval are those of members. A restarted host
+	// without a disk rejoins after an election of 0.8 s, one greeting of the leader and
+	// one request to join: within 3 s, of the 12 s within which callers must be served
+	// again.
+	lostInterval     = 500 * time.Millisecond
+	leaderInterval   = time.Second
+	followerInterval = 2 * time.Second
+	// maxInterval is the maximum time between two greetings to an address. The interval
+	// grows to half the time since the host there was last seen.
+	maxInterval = 5 * time.Second
+	// shareFor is how long an address is shared with others after its host was last seen.
+	// Without this limit, addresses of dead hosts would circulate forever.
+	shareFor = time.Minute
+	// keepFor is how long an address is kept after its host was last seen. It is much
+	// longer than partitions and power losses, which last minutes.
 	keepFor = time.Hour
-	// mostKept bounds the book: 18 hosts are set aside for control at most, each a few
-	// times replaced.
-	mostKept = 64
+	// maxEntries limits the number of addresses: at most 18 hosts are reserved for
+	// control, and each may be replaced a few times.
+	maxEntries = 64
 )
 
-// Contact is a host at an address, as it said itself.
+// Contact is the identity and address of a host, as announced by the host itself.
 type Contact struct {
 	ID   consensus.NodeID
 	Addr string
 }
 
-// entry is what is known of one address.
+// entry is the information about one address.
 type entry struct {
-	id      consensus.NodeID // who was met there last; None if it was only told
-	heard   time.Time        // when it was met last; of one that was only told, when that was
-	greeted time.Time
+	id          consensus.NodeID // identity last seen there; None if another host only reported the address
+	lastSeen    time.Time        // when it was last seen or, if it never was, reported
+	lastGreeted time.Time
 }
 
 func (e *entry) met() bool { return e.id != consensus.None }
 
-// Book is one host's knowledge of addresses. It is not safe for concurrent use.
+// Book holds the addresses known to one host. It is not safe for concurrent use.
 type Book struct {
 	self    Contact
 	seeds   []string
 	members consensus.Membership
-	entries map[string]*entry
-	at      map[consensus.NodeID]string // to the address where it was met last
+	byAddr  map[string]*entry
+	byID    map[consensus.NodeID]string // address where an identity was last seen
 }
 
-// New returns the Book of a host with the addresses that it kept from before.
+// New returns the Book of a host. kept are the addresses that it stored on disk.
 func New(now time.Time, self Contact, seeds, kept []string) *Book {
-	b := &Book{self: self, seeds: slices.Clone(seeds), entries: map[string]*entry{}, at: map[consensus.NodeID]string{}}
+	b := &Book{self: self, seeds: slices.Clone(seeds), byAddr: map[string]*entry{}, byID: map[consensus.NodeID]string{}}
 	b.Told(now, kept)
 	return b
 }
 
-// SetSeeds takes in the addresses that the settings name now.
+// SetSeeds replaces the seed addresses.
 func (b *Book) SetSeeds(addrs []string) { b.seeds = slices.Clone(addrs) }
 
-// SetMembers takes in the membership that this host's log names.
+// SetMembers replaces the membership by that of this host's log.
 func (b *Book) SetMembers(m consensus.Membership) { b.members = m }
 
-// Met notes that a host itself said who it is and where. An identity is at the
-// address where it was met last, and an address belongs to who was met there last: a
-// host that lost its disk, or another one in its place, has another identity.
+// Met records a host's own announcement of its identity and address. An identity has
+// the address where it was last seen, and an address belongs to the identity last seen
+// there: a host that lost its disk, or another host at its address, has a new identity.
 func (b *Book) Met(now time.Time, c Contact) {
 	if c.Addr == "" || c.Addr == b.self.Addr || c.ID == b.self.ID {
 		return
 	}
-	e, known := b.entries[c.Addr]
+	e, known := b.byAddr[c.Addr]
 	if !known {
 		e = &entry{}
-		b.entries[c.Addr] = e
+		b.byAddr[c.Addr] = e
 	}
-	if e.id != c.ID && b.at[e.id] == c.Addr {
-		delete(b.at, e.id)
+	if e.id != c.ID && b.byID[e.id] == c.Addr {
+		delete(b.byID, e.id)
 	}
-	e.id, e.heard = c.ID, now
-	b.at[c.ID] = c.Addr
-	b.bound(now)
+	e.id, e.lastSeen = c.ID, now
+	b.byID[c.ID] = c.Addr
+	b.prune(now)
 }
 
-// Told notes addresses that another host told, or that were kept on disk.
+// Told records addresses reported by another host or stored on disk.
 func (b *Book) Told(now time.Time, addrs []string) {
 	for _, a := range addrs {
-		if a == "" || a == b.self.Addr || b.entries[a] != nil {
+		if a == "" || a == b.self.Addr || b.byAddr[a] != nil {
 			continue
 		}
-		b.entries[a] = &entry{heard: now}
+		b.byAddr[a] = &entry{lastSeen: now}
 	}
-	b.bound(now)
+	b.prune(now)
 }
 
-// bound forgets what was not heard for long, and the oldest beyond what is kept.
-func (b *Book) bound(now time.Time) {
-	for a, e := range b.entries {
-		if now.Sub(e.heard) > keepFor {
+// prune removes addresses not seen for longer than keepFor, and the oldest ones beyond
+// maxEntries.
+func (b *Book) prune(now time.Time) {
+	for a, e := range b.byAddr {
+		if now.Sub(e.lastSeen) > keepFor {
 			b.forget(a)
 		}
 	}
-	for len(b.entries) > mostKept {
-		b.forget(b.oldest())
+	for len(b.byAddr) > maxEntries {
+		b.forget(b.evictionCandidate())
 	}
 }
 
 func (b *Book) forget(addr string) {
-	if id := b.entries[addr].id; b.at[id] == addr {
-		delete(b.at, id)
+	if id := b.byAddr[addr].id; b.byID[id] == addr {
+		delete(b.byID, id)
 	}
-	delete(b.entries, addr)
+	delete(b.byAddr, addr)
 }
 
-// oldest returns the address to forget first: one that was only told before one
-// that was met, then the one that was heard longest ago.
-func (b *Book) oldest() string {
+// evictionCandidate returns the address to remove first: addresses that were only reported
+// come before those of hosts that were seen, then the one seen longest ago.
+func (b *Book) evictionCandidate() string {
 	addrs := b.Kept()
 	return slices.MinFunc(addrs, func(x, y string) int {
-		p, q := b.entries[x], b.entries[y]
+		p, q := b.byAddr[x], b.byAddr[y]
 		if p.met() != q.met() {
 			if q.met() {
 				return -1
 			}
 			return 1
 		}
-		return p.heard.Compare(q.heard)
+		return p.lastSeen.Compare(q.lastSeen)
 	})
 }
 
-// Kept returns the addresses worth keeping on disk, in order.
+// Kept returns the addresses to store on disk, sorted.
 func (b *Book) Kept() []string {
-	out := make([]string, 0, len(b.entries))
-	for a := range b.entries {
+	out := make([]string, 0, len(b.byAddr))
+	for a := range b.byAddr {
 		out = append(out, a)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// AddrOf returns where an identity was met, which goes before what the log says: a
-// host's address may have changed while no leader was there to note it.
+// AddrOf returns the address where an identity was last seen. It takes precedence over
+// the address in the log: a host's address may have changed while there was no leader to
+// record the change.
 func (b *Book) AddrOf(id consensus.NodeID) (string, bool) {
-	addr, met := b.at[id]
+	addr, met := b.byID[id]
 	return addr, met
 }
 
-// Tell returns the addresses to tell others: who was met lately, and, while the log
-// is known to be the group's, its members.
+// Tell returns the addresses to share with others: hosts seen within shareFor and, unless
+// this host is Lost and its log may be outdated, the members.
 func (b *Book) Tell(now time.Time, s Standing) []string {
 	var out []string
 	for _, a := range b.Kept() {
-		if e := b.entries[a]; e.met() && now.Sub(e.heard) < tellFor {
+		if e := b.byAddr[a]; e.met() && now.Sub(e.lastSeen) < shareFor {
 			out = append(out, a)
 		}
 	}
@@ -182,7 +185,8 @@
 	return out
 }
 
-// All returns every address at which the group may be found.
+// All returns every address at which the group may be found, sorted: seeds, members and
+// known contacts, without the host's own.
 func (b *Book) All() []string {
 	out := slices.Clone(b.seeds)
 	for _, m := range b.members.Members {
@@ -194,31 +198,31 @@
 	return slices.DeleteFunc(out, func(a string) bool { return a == "" || a == b.self.Addr })
 }
 
-// Greet returns the addresses to greet now, and counts them as greeted. silent are
-// the members that a leader does not hear.
+// Greet returns the addresses to greet now and records them as greeted. silent are the
+// members from which the leader receives no messages.
 func (b *Book) Greet(now time.Time, s Standing, silent []consensus.NodeID) []string {
 	var out []string
 	for _, a := range b.All() {
-		if s != Lost && b.heardByLog(a, silent) {
+		if s != Lost && b.inTouch(a, silent) {
 			continue
 		}
-		e, known := b.entries[a]
+		e, known := b.byAddr[a]
 		if !known {
-			e = &entry{heard: now}
-			b.entries[a] = e
+			e = &entry{lastSeen: now}
+			b.byAddr[a] = e
 		}
-		if e.greeted.IsZero() || now.Sub(e.greeted) >= b.pause(now, s, a, e) {
-			e.greeted = now
+		if e.lastGreeted.IsZero() || now.Sub(e.lastGreeted) >= b.interval(now, s, a, e) {
+			e.lastGreeted = now
 			out = append(out, a)
 		}
 	}
-	b.bound(now)
+	b.prune(now)
 	return out
 }
 
-// heardByLog reports whether the group itself keeps in touch with an address: it is
-// that of a member that is not silent.
-func (b *Book) heardByLog(addr string, silent []consensus.NodeID) bool {
+// inTouch reports whether addr is the address of a member that is not silent, so that
+// the consensus messages make greetings unnecessary.
+func (b *Book) inTouch(addr string, silent []consensus.NodeID) bool {
 	for _, m := range b.members.Members {
 		if m.Addr == addr && !slices.Contains(silent, m.ID) {
 			return true
@@ -227,12 +231,12 @@
 	return false
 }
 
-// pause returns the time between two greetings to an address. Seeds and members are
-// greeted at full pace: new hosts are placed there.
-func (b *Book) pause(now time.Time, s Standing, addr string, e *entry) time.Duration {
-	least := map[Standing]time.Duration{Lost: lostEvery, Follows: followsEvery, Leads: leadsEvery}[s]
+// interval returns the time between two greetings to an address. Seeds and members are
+// always greeted at the minimum interval, because new hosts appear at their addresses.
+func (b *Book) interval(now time.Time, s Standing, addr string, e *entry) time.Duration {
+	minInterval := map[Standing]time.Duration{Lost: lostInterval, Follows: followerInterval, Leads: leaderInterval}[s]
 	if slices.Contains(b.seeds, addr) || slices.ContainsFunc(b.members.Members, func(m consensus.Member) bool { return m.Addr == addr }) {
-		return least
+		return minInterval
 	}
-	return max(least, min(rarest, now.Sub(e.heard)/2))
+	return max(minInterval, min(maxInterval, now.Sub(e.lastSeen)/2))
 }
--- a/internal/core/contact/model_test.go
+++ b/internal/core/contact/model_test.go
@@ -13,24 +13,24 @@
 	"github.com/cassiapass/cassiapass/internal/core/consensus"
 )
 
-// without names a safeguard that a run goes without.
-type without string
+// safeguard is a mechanism that a run can disable.
+type safeguard string
 
 const (
-	nothing       without = ""
-	greetings     without = "greetings of members"
-	memory        without = "remembering who greeted"
-	passingOn     without = "telling others of addresses"
-	movedAddrs    without = "the address where an identity was met"
-	keptAddresses without = "addresses kept on disk"
+	none          safeguard = ""
+	greetings     safeguard = "greetings of members"
+	memory        safeguard = "remembering who greeted"
+	sharing       safeguard = "telling others of addresses"
+	movedAddrs    safeguard = "the address where an identity was met"
+	keptAddresses safeguard = "addresses kept on disk"
 )
 
-// step is the time between two looks of a host, and foundWithin that within which
-// every host must be in the group once the faults have ended.
+// step is the time of one tick. joinLimit is the time within which every host must be in
+// the group once the faults have ended.
 const (
-	step        = 250 * time.Millisecond
-	foundWithin = 8 * time.Second
-	voters      = 3
+	step      = 250 * time.Millisecond
+	joinLimit = 8 * time.Second
+	voters    = 3
 )
 
 // simHost is one host of the model.
@@ -44,34 +44,34 @@
 	version int // of the membership in its log
 	log     consensus.Membership
 	kept    []string // on its disk
-	led     bool
+	inGroup bool
 }
 
-// world is a group whose consensus is replaced by its outcome: a host leads while it
-// reaches a majority of the voters, by the addresses that it knows, and they it.
-type world struct {
-	rnd     *rand.Rand
-	without without
-	now     time.Time
-	hosts   []*simHost
-	nextID  consensus.NodeID
-	nextIP  int
-	group   consensus.Membership
-	version int
-	leader  *simHost
-	joiners []*simHost
-	cut     map[[2]int]bool
+// model is a group in which consensus is simulated by its outcome: a host leads while it
+// and a majority of the voters reach each other at the addresses that they know.
+type model struct {
+	rnd      *rand.Rand
+	disabled safeguard
+	now      time.Time
+	hosts    []*simHost
+	nextID   consensus.NodeID
+	nextIP   int
+	group    consensus.Membership
+	version  int
+	leader   *simHost
+	joiners  []*simHost
+	cut      map[[2]int]bool
 }
 
-func newWorld(seed uint64, w without) *world {
-	s := &world{rnd: rand.New(rand.NewPCG(seed, 7)), without: w, now: time.Unix(1000, 0), cut: map[[2]int]bool{}}
+func newModel(seed uint64, w safeguard) *model {
+	s := &model{rnd: rand.New(rand.NewPCG(seed, 7)), disabled: w, now: time.Unix(1000, 0), cut: map[[2]int]bool{}}
 	disks := 3 + s.rnd.IntN(3)
 	for i := range disks + s.rnd.IntN(6) {
 		s.nextIP++
 		s.hosts = append(s.hosts, &simHost{addr: fmt.Sprint("a", s.nextIP), disk: i < disks})
 	}
 	for _, h := range s.hosts[:voters] {
-		h.id = s.identity()
+		h.id = s.newIdentity()
 		s.group = s.group.With(consensus.Member{ID: h.id, Addr: h.addr, Voter: true})
 	}
 	s.version = 1
@@ -85,9 +85,9 @@
 	return s
 }
 
-func (s *world) identity() consensus.NodeID { s.nextID++; return s.nextID }
+func (s *model) newIdentity() consensus.NodeID { s.nextID++; return s.nextID }
 
-func (s *world) addrs(hs []*simHost) []string {
+func (s *model) addrs(hs []*simHost) []string {
 	var out []string
 	for _, h := range hs {
 		out = append(out, h.addr)
@@ -95,22 +95,22 @@
 	return out
 }
 
-// start begins a process: without a disk it knows its settings alone.
-func (s *world) start(h *simHost) {
+// start starts a host's process. Without a disk it knows only its settings.
+func (s *model) start(h *simHost) {
 	if !h.disk || h.id == consensus.None {
-		h.id, h.log, h.version, h.kept = s.identity(), consensus.Membership{}, 0, nil
+		h.id, h.log, h.version, h.kept = s.newIdentity(), consensus.Membership{}, 0, nil
 	}
 	kept := h.kept
-	if s.without == keptAddresses {
+	if s.disabled == keptAddresses {
 		kept = nil
 	}
-	h.up, h.led = true, false
+	h.up, h.inGroup = true, false
 	h.book = New(s.now, Contact{ID: h.id, Addr: h.addr}, h.seeds, kept)
 	h.book.SetMembers(h.log)
 }
 
-// at returns who runs at an address.
-func (s *world) at(addr string) *simHost {
+// at returns the running host at an address, or nil.
+func (s *model) at(addr string) *simHost {
 	for _, h := range s.hosts {
 		if h.up && h.addr == addr {
 			return h
@@ -119,26 +119,28 @@
 	return nil
 }
 
-func (s *world) index(h *simHost) int { return slices.Index(s.hosts, h) }
+func (s *model) index(h *simHost) int { return slices.Index(s.hosts, h) }
 
-func (s *world) linked(a, b *simHost) bool {
+func (s *model) linked(a, b *simHost) bool {
 	return !s.cut[[2]int{s.index(a), s.index(b)}] && !s.cut[[2]int{s.index(b), s.index(a)}]
 }
 
-// reaches reports whether a message of a for an identity comes to b.
-func (s *world) reaches(a, b *simHost) bool {
+// reaches reports whether a message from a to the identity of b arrives at b.
+func (s *model) reaches(a, b *simHost) bool {
 	addr, met := a.book.AddrOf(b.id)
-	if !met || s.without == movedAddrs {
+	if !met || s.disabled == movedAddrs {
 		m, _ := a.log.Find(b.id)
 		addr = m.Addr
 	}
 	return addr == b.addr && s.at(addr) == b && s.linked(a, b)
 }
 
-func (s *world) both(a, b *simHost) bool { return a == b || s.reaches(a, b) && s.reaches(b, a) }
+func (s *model) reachEachOther(a, b *simHost) bool {
+	return a == b || s.reaches(a, b) && s.reaches(b, a)
+}
 
-// elect has the outcome of an election.
-func (s *world) elect() {
+// elect sets the outcome of an election.
+func (s *model) elect() {
 	if s.leader != nil && s.leader.up && s.quorum(s.leader) {
 		return
 	}
@@ -152,34 +154,34 @@
 	}
 }
 
-func (s *world) quorum(c *simHost) bool {
+func (s *model) quorum(c *simHost) bool {
 	n := 0
 	for _, h := range s.hosts {
-		if m, _ := s.group.Find(h.id); h.up && m.Voter && s.both(c, h) {
+		if m, _ := s.group.Find(h.id); h.up && m.Voter && s.reachEachOther(c, h) {
 			n++
 		}
 	}
 	return n > s.group.Voters()/2
 }
 
-// follow lets members hear the leader and hold its log.
-func (s *world) follow() {
+// follow makes the members that the leader reaches followers with its log.
+func (s *model) follow() {
 	for _, h := range s.hosts {
 		_, member := s.group.Find(h.id)
-		h.led = h.up && s.leader != nil && member && s.both(s.leader, h)
-		if h.led {
+		h.inGroup = h.up && s.leader != nil && member && s.reachEachOther(s.leader, h)
+		if h.inGroup {
 			h.log, h.version = s.group, s.version
 			h.book.SetMembers(h.log)
 		}
 	}
 }
 
-// change decides one membership change, as the roster would.
-func (s *world) change() {
+// change makes one membership change, as package roster would.
+func (s *model) change() {
 	if s.leader == nil {
 		return
 	}
-	next, due := s.due()
+	next, due := s.nextChange()
 	if !due {
 		return
 	}
@@ -188,7 +190,7 @@
 	s.follow()
 }
 
-func (s *world) due() (consensus.Membership, bool) {
+func (s *model) nextChange() (consensus.Membership, bool) {
 	for _, j := range s.joiners {
 		if m, member := s.group.Find(j.id); member && m.Addr != j.addr {
 			m.Addr = j.addr
@@ -205,7 +207,7 @@
 	}
 	for _, h := range s.hosts {
 		m, member := s.group.Find(h.id)
-		if member && !m.Voter && h.disk && h.led && s.group.Voters() < voters {
+		if member && !m.Voter && h.disk && h.inGroup && s.group.Voters() < voters {
 			m.Voter = true
 			return s.group.With(m), true
 		}
@@ -213,25 +215,25 @@
 	return s.group, false
 }
 
-func (s *world) standing(h *simHost) Standing {
+func (s *model) standing(h *simHost) Standing {
 	switch {
 	case h == s.leader:
 		return Leads
-	case h.led:
+	case h.inGroup:
 		return Follows
 	}
 	return Lost
 }
 
-// greet has a host make itself known, and ask to join where the group is.
-func (s *world) greet(h *simHost) {
+// greet sends a host's greetings, and its request to join if a member answers.
+func (s *model) greet(h *simHost) {
 	st := s.standing(h)
-	if st != Lost && s.without == greetings {
+	if st != Lost && s.disabled == greetings {
 		return
 	}
 	var silent []consensus.NodeID
 	for _, m := range s.group.Members {
-		if !slices.ContainsFunc(s.hosts, func(o *simHost) bool { return o.id == m.ID && o.led }) {
+		if !slices.ContainsFunc(s.hosts, func(o *simHost) bool { return o.id == m.ID && o.inGroup }) {
 			silent = append(silent, m.ID)
 		}
 	}
@@ -242,19 +244,19 @@
 		}
 		s.meet(h, o)
 		s.meet(o, h)
-		if st == Lost && o.led && s.leader != nil && !slices.Contains(s.joiners, h) {
+		if st == Lost && o.inGroup && s.leader != nil && !slices.Contains(s.joiners, h) {
 			s.joiners = append(s.joiners, h)
-			h.log = s.leader.log // what the answer tells of members
+			h.log = s.leader.log // the answer contains the membership
 		}
 	}
 }
 
-// meet has a learn of b.
-func (s *world) meet(a, b *simHost) {
-	if s.without != memory {
+// meet makes a record b and the addresses that b shares.
+func (s *model) meet(a, b *simHost) {
+	if s.disabled != memory {
 		a.book.Met(s.now, Contact{ID: b.id, Addr: b.addr})
 	}
-	if s.without != passingOn {
+	if s.disabled != sharing {
 		a.book.Told(s.now, b.book.Tell(s.now, s.standing(b)))
 	}
 	if a.disk {
@@ -262,7 +264,7 @@
 	}
 }
 
-func (s *world) tick() {
+func (s *model) tick() {
 	s.now = s.now.Add(step)
 	s.elect()
 	s.follow()
@@ -272,17 +274,17 @@
 		}
 	}
 	s.change()
-	s.joiners = slices.DeleteFunc(s.joiners, func(j *simHost) bool { return !j.up || j.led })
+	s.joiners = slices.DeleteFunc(s.joiners, func(j *simHost) bool { return !j.up || j.inGroup })
 }
 
-func (s *world) run(d time.Duration) {
+func (s *model) run(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.tick()
 	}
 }
 
-// draw returns n distinct hosts.
-func (s *world) draw(n int) []*simHost {
+// draw returns n distinct random hosts.
+func (s *model) draw(n int) []*simHost {
 	var out []*simHost
 	for _, i := range s.rnd.Perm(len(s.hosts))[:min(n, len(s.hosts))] {
 		out = append(out, s.hosts[i])
@@ -290,15 +292,15 @@
 	return out
 }
 
-// settled reports whether every host is in the group.
-func (s *world) settled() bool {
-	return !slices.ContainsFunc(s.hosts, func(h *simHost) bool { return !h.led })
+// allInGroup reports whether every host is in the group.
+func (s *model) allInGroup() bool {
+	return !slices.ContainsFunc(s.hosts, func(h *simHost) bool { return !h.inGroup })
 }
 
-// fault does one thing that happens to such a group.
-func (s *world) fault() {
+// injectFault injects one random fault or change of settings.
+func (s *model) injectFault() {
 	switch s.rnd.IntN(7) {
-	case 0, 1: // seeds are exchanged, for some hosts or all
+	case 0, 1: // some or all hosts get other seeds
 		seeds := s.addrs(s.draw(1 + s.rnd.IntN(3)))
 		for _, h := range s.draw(1 + s.rnd.IntN(len(s.hosts))) {
 			h.seeds = seeds
@@ -307,22 +309,22 @@
 			}
 		}
 	case 2: // all lose power
-		s.dark(s.hosts)
+		s.powerCycle(s.hosts)
 	case 3:
-		s.dark(s.draw(1 + s.rnd.IntN(len(s.hosts))))
-	case 4: // a disk is lost, while the group can bear it
-		if h := s.hosts[s.rnd.IntN(voters)]; s.settled() {
+		s.powerCycle(s.draw(1 + s.rnd.IntN(len(s.hosts))))
+	case 4: // a disk is lost while the group tolerates it
+		if h := s.hosts[s.rnd.IntN(voters)]; s.allInGroup() {
 			h.id = consensus.None
-			s.dark([]*simHost{h})
+			s.powerCycle([]*simHost{h})
 		}
-	case 5: // addresses change while hosts are dark
+	case 5: // addresses change while hosts are down
 		hs := s.draw(1 + s.rnd.IntN(2))
 		for _, h := range hs {
 			s.nextIP++
 			h.addr = fmt.Sprint("a", s.nextIP)
 		}
-		s.dark(hs)
-	case 6: // links are cut for a while
+		s.powerCycle(hs)
+	case 6: // links are cut temporarily
 		for range 1 + s.rnd.IntN(6) {
 			s.cut[[2]int{s.rnd.IntN(len(s.hosts)), s.rnd.IntN(len(s.hosts))}] = true
 		}
@@ -331,10 +333,10 @@
 	}
 }
 
-// dark takes power from hosts and gives it back.
-func (s *world) dark(hs []*simHost) {
+// powerCycle stops hosts and starts them again after up to 3 s.
+func (s *model) powerCycle(hs []*simHost) {
 	for _, h := range hs {
-		h.up, h.led = false, false
+		h.up, h.inGroup = false, false
 	}
 	s.run(time.Duration(s.rnd.IntN(4)) * time.Second)
 	for _, h := range hs {
@@ -342,9 +344,9 @@
 	}
 }
 
-// connected returns the hosts that what anybody knows connects with a quorum, in
-// either direction; nil if there is none.
-func (s *world) connected() []*simHost {
+// connected returns the hosts that are connected with a quorum by known addresses, in
+// either direction; nil if no quorum is connected.
+func (s *model) connected() []*simHost {
 	knows := func(a, b *simHost) bool {
 		return slices.Contains(a.book.All(), b.addr) || slices.Contains(a.kept, b.addr)
 	}
@@ -370,7 +372,7 @@
 	return nil
 }
 
-func (s *world) quorumIn(part []*simHost) bool {
+func (s *model) quorumIn(part []*simHost) bool {
 	n, newest := 0, false
 	for _, h := range part {
 		if m, _ := s.group.Find(h.id); m.Voter {
@@ -381,41 +383,40 @@
 	return newest && n > s.group.Voters()/2
 }
 
-// play returns whether what is known connected any hosts at the end, and those of
-// them that did not find the leader.
-func play(seed uint64, w without) (connected bool, missing []string) {
-	s := newWorld(seed, w)
+// runSchedule runs a random schedule of faults. It returns whether a quorum was connected
+// by known addresses after the last fault, and the hosts connected with it that did not
+// find the leader within joinLimit.
+func runSchedule(seed uint64, w safeguard) (connected bool, missing []string) {
+	s := newModel(seed, w)
 	s.run(5 * time.Second)
 	for range 1 + s.rnd.IntN(8) {
-		s.fault()
+		s.injectFault()
 		s.run(time.Duration(s.rnd.IntN(6)) * time.Second)
 	}
 	part := s.connected()
-	s.run(foundWithin)
+	s.run(joinLimit)
 	for _, h := range part {
-		if !h.led {
+		if !h.inGroup {
 			missing = append(missing, h.addr)
 		}
 	}
 	return len(part) > 0, missing
 }
 
-// schedules is how many random courses of faults CI plays.
+// schedules is the number of random fault schedules that CI runs.
 const schedules = 2000
 
-// Symptom: after all hosts lost power no request is served again, though every disk
-// and every process is back.
-// Sequence: the seeds are exchanged for hosts without a disk; then all lose power.
-// Those with disks lead again; the seeds know only each other, and nobody else is
-// asked.
-// Cause: only who asks learned an address; who is asked learned none.
+// The seeds are replaced by hosts without a disk, then all hosts lose power. The hosts with
+// disks elect a leader again, but the seeds know only each other, and no other host is
+// asked. If a host that is greeted did not record the sender's address, no request would be
+// served again although every disk and every process is back.
 func TestWhateverAnyoneKnowsConnectsTheGroup(t *testing.T) {
 	var found atomic.Int64
-	var players sync.WaitGroup
-	for player := range uint64(runtime.GOMAXPROCS(0)) {
-		players.Go(func() {
-			for seed := player; seed < schedules; seed += uint64(runtime.GOMAXPROCS(0)) {
-				connected, missing := play(seed, nothing)
+	var workers sync.WaitGroup
+	for worker := range uint64(runtime.GOMAXPROCS(0)) {
+		workers.Go(func() {
+			for seed := worker; seed < schedules; seed += uint64(runtime.GOMAXPROCS(0)) {
+				connected, missing := runSchedule(seed, none)
 				if connected {
 					found.Add(1)
 				}
@@ -425,25 +426,25 @@
 			}
 		})
 	}
-	players.Wait()
+	workers.Wait()
 	if found.Load() < schedules*9/10 {
-		t.Fatalf("only %d of %d schedules leave a group that can be found", found.Load(), schedules)
+		t.Fatalf("only %d of %d schedules end with a connected quorum", found.Load(), schedules)
 	}
 }
 
-// Each safeguard is needed: without it some schedule leaves hosts outside. The search
-// begins at a seed that is known to show it.
-func TestEachSafeguardIsNoticedWhenItIsGone(t *testing.T) {
-	for w, seed := range map[without]uint64{greetings: 36, memory: 25, passingOn: 65, movedAddrs: 25, keptAddresses: 1718} {
+// Each safeguard is needed: without it, some schedule leaves hosts outside the group. The
+// search starts at a seed known to show this.
+func TestEachMissingSafeguardIsDetected(t *testing.T) {
+	for w, seed := range map[safeguard]uint64{greetings: 36, memory: 25, sharing: 65, movedAddrs: 25, keptAddresses: 1718} {
 		t.Run(string(w), func(t *testing.T) {
 			for range schedules {
-				if _, missing := play(seed, w); len(missing) > 0 {
-					t.Logf("noticed by seed %d", seed)
+				if _, missing := runSchedule(seed, w); len(missing) > 0 {
+					t.Logf("detected by seed %d", seed)
 					return
 				}
 				seed++
 			}
-			t.Fatalf("no schedule of %d notices", schedules)
+			t.Fatalf("none of %d schedules detects the missing safeguard", schedules)
 		})
 	}
 }
