--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -1,11 +1,11 @@
-// Package member decides which endpoints are up, leaving or gone, from two
-// sources: the leases that agents hold by their beats, and the platform's list
-// of hosts, which lags.
+// Package member decides which endpoints are up, leaving or removed, from two
+// sources: the leases that agents renew with their heartbeats, and the
+// platform's list of hosts, which lags.
 //
-// The list is never believed over a live lease: it may show an earlier life of
-// the host. An endpoint is forgotten, and its memory given up, only when both
-// agree: the lease ended and the host has been absent from the list for longer
-// than the list may lag.
+// A live lease takes precedence over the list, which may show an earlier
+// incarnation of the host. An endpoint is removed, and its memory released, only
+// when both agree: the lease has expired and the host has been absent from the
+// list for longer than the list may lag.
 package member
 
 import (
@@ -25,83 +25,86 @@
 	Absent  Standing = "absent"
 )
 
-// Config tunes a Table.
+// Config holds the parameters of a Table.
 type Config struct {
-	Lease    time.Duration // an agent not heard for this long is down
-	GoneWait time.Duration // absence from the list before a down endpoint is forgotten
+	Lease    time.Duration // time without a heartbeat after which an endpoint is down
+	GoneWait time.Duration // absence from the list after which a down endpoint is removed
 }
 
-// DefaultConfig allows five lost beats and half a minute of lag.
+// DefaultConfig tolerates five lost heartbeats and half a minute of lag of the list.
 func DefaultConfig() Config {
 	return Config{Lease: 5 * time.Second, GoneWait: 30 * time.Second}
 }
 
-// Table is the leader's memory of leases and of the list. It is not safe for
-// concurrent use.
+// Table is the leader's record of leases and of the platform's list. It is not
+// safe for concurrent use.
 type Table struct {
-	cfg     Config
-	started time.Time
-	heard   map[ident.HostID]lease
-	listed  map[ident.HostID]listing
-	haveAny bool
+	cfg          Config
+	started      time.Time
+	leases       map[ident.HostID]lease
+	listings     map[ident.HostID]listing
+	listReceived bool
 }
 
 type lease struct {
 	incarnation ident.Incarnation
-	at          time.Time
-	since       time.Time // first beat of this incarnation
+	renewed     time.Time
+	since       time.Time // first heartbeat of this incarnation
 }
 
 type listing struct {
 	standing Standing
 	since    time.Time
-	sawLive  time.Time // when the list last showed it live
+	lastLive time.Time // when a list last showed it as live
 }
 
-// New returns a Table of a leader that has just begun. Every agent counts as
-// heard at that moment: a new leader must not take all of them for dead.
+// New returns a Table for a leader whose term starts now. Endpoints that are up
+// count as having renewed their lease now: a new leader must not mark all of them
+// down.
 func New(cfg Config, now time.Time) *Table {
-	return &Table{cfg: cfg, started: now, heard: map[ident.HostID]lease{}, listed: map[ident.HostID]listing{}}
+	return &Table{cfg: cfg, started: now, leases: map[ident.HostID]lease{}, listings: map[ident.HostID]listing{}}
 }
 
-// Heard takes in a beat.
+// Heard renews the lease of the host's agent on a heartbeat. Heartbeats of an older
+// incarnation are ignored.
 func (t *Table) Heard(now time.Time, h ident.HostID, inc ident.Incarnation) {
-	l, ok := t.heard[h]
+	l, ok := t.leases[h]
 	if ok && inc < l.incarnation {
 		return // delayed, from a process that no longer exists
 	}
 	if !ok || inc > l.incarnation {
 		l = lease{incarnation: inc, since: now}
 	}
-	l.at = now
-	t.heard[h] = l
+	l.renewed = now
+	t.leases[h] = l
 }
 
-// List takes in the platform's list.
+// List records a new copy of the platform's list.
 func (t *Table) List(now time.Time, hosts map[ident.HostID]Standing) {
-	t.haveAny = true
+	t.listReceived = true
 	for h, s := range hosts {
-		t.note(now, h, s)
+		t.update(now, h, s)
 	}
-	for h := range t.listed {
+	for h := range t.listings {
 		if _, ok := hosts[h]; !ok {
-			t.note(now, h, Absent)
+			t.update(now, h, Absent)
 		}
 	}
 }
 
-func (t *Table) note(now time.Time, h ident.HostID, s Standing) {
-	l, ok := t.listed[h]
+func (t *Table) update(now time.Time, h ident.HostID, s Standing) {
+	l, ok := t.listings[h]
 	if !ok || l.standing != s {
 		l.standing, l.since = s, now
 	}
 	if s == Live {
-		l.sawLive = now
+		l.lastLive = now
 	}
-	t.listed[h] = l
+	t.listings[h] = l
 }
 
-// Check returns the commands that leases and list call for.
+// Check returns the commands that update endpoints according to the leases and the
+// list.
 func (t *Table) Check(now time.Time, endpoints []state.Endpoint) []state.Command {
 	var cmds []state.Command
 	for _, e := range endpoints {
@@ -117,49 +120,51 @@
 	switch {
 	case held && !e.Up:
 		e.Up = true
-		return set(e, "its lease is held again"), true
+		return endpointCommand(e, "its lease is held again"), true
 	case !held && e.Up:
 		e.Up = false
-		return set(e, "its lease ended"), true
-	case !held && t.gone(now, e.Host):
+		return endpointCommand(e, "its lease ended"), true
+	case !held && t.delisted(now, e.Host):
 		f := &state.EndpointForget{Host: e.Host, Incarnation: e.Incarnation, Reason: "its lease ended and the platform no longer lists the host"}
 		return state.Command{Forget: f}, true
 	case held && !e.Leaving && t.leaving(e):
 		e.Leaving = true
-		return set(e, "the platform lists the host as leaving"), true
+		return endpointCommand(e, "the platform lists the host as leaving"), true
 	}
 	return state.Command{}, false
 }
 
-func set(e state.Endpoint, reason string) state.Command {
+func endpointCommand(e state.Endpoint, reason string) state.Command {
 	return state.Command{Endpoint: &state.EndpointSet{Endpoint: e, Reason: reason}}
 }
 
 // held reports whether the endpoint's agent holds its lease.
 func (t *Table) held(now time.Time, e state.Endpoint) bool {
-	l, ok := t.heard[e.Host]
+	l, ok := t.leases[e.Host]
 	if !ok {
 		return e.Up && now.Sub(t.started) < t.cfg.Lease
 	}
-	return l.incarnation >= e.Incarnation && now.Sub(l.at) < t.cfg.Lease
+	return l.incarnation >= e.Incarnation && now.Sub(l.renewed) < t.cfg.Lease
 }
 
-// gone reports whether the list has lacked a host for long enough.
-func (t *Table) gone(now time.Time, h ident.HostID) bool {
-	if !t.haveAny {
+// delisted reports whether a host has been absent from the list for longer than
+// GoneWait.
+func (t *Table) delisted(now time.Time, h ident.HostID) bool {
+	if !t.listReceived {
 		return false
 	}
-	l, ok := t.listed[h]
+	l, ok := t.listings[h]
 	if !ok {
 		return now.Sub(t.started) > t.cfg.GoneWait
 	}
 	return l.standing == Absent && now.Sub(l.since) > t.cfg.GoneWait
 }
 
-// leaving reports whether the list shows that this life of the host is ending:
-// it was listed live after the process had started, and leaving after that.
+// leaving reports whether the list shows that this incarnation of the host is
+// leaving: it was listed as live after the process had started, and is listed as
+// leaving now.
 func (t *Table) leaving(e state.Endpoint) bool {
-	l, ok := t.listed[e.Host]
-	started := t.heard[e.Host].since
-	return ok && l.standing == Leaving && l.sawLive.After(started)
+	l, ok := t.listings[e.Host]
+	started := t.leases[e.Host].since
+	return ok && l.standing == Leaving && l.lastLive.After(started)
 }
