--- a/internal/core/view/view.go
+++ b/internal/core/view/view.go
@@ -1,9 +1,10 @@
-// Package view is what a subscriber knows of the control group's state: the
-// records in force, endpoints and replicas, built from a first full copy and
-// the changes after it.
+// Package view is a subscriber's copy of the control group's state: the records
+// in force, endpoints and replicas, built from an initial full copy and the
+// changes after it.
 //
-// A View never goes back. Changes that were seen are skipped, so it does not
-// matter which control host sends them, how often, or after how long a silence.
+// A View never goes back to an older state. Changes that were already applied are
+// skipped, so the same changes may come from any control host, repeatedly and at
+// any time.
 package view
 
 import (
@@ -17,8 +18,8 @@
 
 // View is one subscriber's copy. It is not safe for concurrent use.
 type View struct {
-	index     ident.Index // everything up to here is taken in
-	config    ident.Index // newest record change taken in
+	index     ident.Index // all changes up to here are applied
+	config    ident.Index // newest record change applied
 	records   map[string]state.Record
 	services  map[string]*record.Service
 	endpoints map[ident.HostID]state.Endpoint
@@ -43,15 +44,16 @@
 	v.poison = poison.Registry{}
 }
 
-// Index returns the index up to which everything is taken in.
+// Index returns the log index up to which all changes are applied.
 func (v *View) Index() ident.Index { return v.index }
 
-// Config returns the index of the newest record change taken in: the
-// configuration in force here.
+// Config returns the log index of the newest record change applied, which
+// identifies the configuration in force here.
 func (v *View) Config() ident.Index { return v.config }
 
-// Reset replaces the view by a full copy at index to. A copy older than the
-// view is ignored: a control host that lags must not take a process back.
+// Reset replaces the view by a full copy at index to. It ignores a copy older than
+// the view and returns false: a control host that lags must not revert a
+// subscriber to an older state. It fails if a record is not readable.
 func (v *View) Reset(to ident.Index, changes []state.Change) (bool, error) {
 	if to < v.index {
 		return false, nil
@@ -59,14 +61,14 @@
 	known := v.records
 	v.clear()
 	for _, c := range changes {
-		if err := v.take(c); err != nil {
+		if err := v.applyChange(c); err != nil {
 			return false, err
 		}
 	}
-	// A record handed over by an agent may be newer than the copy.
+	// A record received from an agent may be newer than the copy.
 	for name, r := range known {
 		if r.Revision > to {
-			if err := v.takeRecord(name, r); err != nil {
+			if err := v.applyRecord(name, r); err != nil {
 				return false, err
 			}
 		}
@@ -75,8 +77,9 @@
 	return true, nil
 }
 
-// Apply takes in the changes after from, up to index to. It returns false when
-// changes are missing before from, so that the subscriber asks anew.
+// Apply applies the changes after index from, up to index to. It returns false if the
+// view lacks changes up to from, so that the subscriber must subscribe again. It fails
+// if a record is not readable.
 func (v *View) Apply(from, to ident.Index, changes []state.Change) (bool, error) {
 	if from > v.index {
 		return false, nil
@@ -85,7 +88,7 @@
 		if c.Index <= v.index {
 			continue
 		}
-		if err := v.take(c); err != nil {
+		if err := v.applyChange(c); err != nil {
 			return false, err
 		}
 	}
@@ -93,21 +96,22 @@
 	return true, nil
 }
 
-// ApplyRecords takes in record changes that an agent handed over. The index
-// does not move: replica changes in between are not among them.
+// ApplyRecords applies record changes received from an agent. The index does not
+// advance, because the changes of replicas in between are missing. It fails if a
+// record is not readable.
 func (v *View) ApplyRecords(rs []state.Record) error {
 	for _, r := range rs {
-		if err := v.takeRecord(r.Name, r); err != nil {
+		if err := v.applyRecord(r.Name, r); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (v *View) take(c state.Change) error {
+func (v *View) applyChange(c state.Change) error {
 	switch {
 	case c.Record != nil:
-		return v.takeRecord(c.Record.Name, *c.Record)
+		return v.applyRecord(c.Record.Name, *c.Record)
 	case c.Endpoint != nil:
 		v.endpoints[c.Endpoint.Host] = *c.Endpoint
 	case c.Forgot != "":
@@ -115,14 +119,14 @@
 	case c.Replica != nil:
 		v.putReplica(*c.Replica)
 	case c.Removed != 0:
-		v.dropReplica(c.Removed)
+		v.removeReplica(c.Removed)
 	case c.Poison != nil:
 		v.poison = *c.Poison
 	}
 	return nil
 }
 
-func (v *View) takeRecord(name string, r state.Record) error {
+func (v *View) applyRecord(name string, r state.Record) error {
 	if old, ok := v.records[name]; ok && old.Revision >= r.Revision {
 		return nil
 	}
@@ -152,7 +156,7 @@
 	v.byTarget[r.Target][r.ID] = struct{}{}
 }
 
-func (v *View) dropReplica(id ident.Index) {
+func (v *View) removeReplica(id ident.Index) {
 	r, ok := v.replicas[id]
 	if !ok {
 		return
@@ -164,18 +168,18 @@
 	}
 }
 
-// Services returns the records in force in internal form, by name. The caller
-// only reads them.
+// Services returns the records in force in internal form, by name. The caller must
+// not modify them.
 func (v *View) Services() map[string]*record.Service { return v.services }
 
-// Record returns one record.
+// Record returns the newest revision of the named record, which may be withdrawn.
 func (v *View) Record(name string) (state.Record, bool) {
 	r, ok := v.records[name]
 	return r, ok
 }
 
-// RecordsAfter returns the records changed after index i: what an entry lacks
-// that knows the configuration only up to there.
+// RecordsAfter returns the records changed after index i, in unspecified order. They
+// bring an entry up to date that has the configuration up to i.
 func (v *View) RecordsAfter(i ident.Index) []state.Record {
 	var out []state.Record
 	for _, r := range v.records {
@@ -192,14 +196,14 @@
 	return e, ok
 }
 
-// Poison returns the requests that are quarantined, and the key of their fingerprints. The
-// caller only reads it.
+// Poison returns the registry of quarantined requests, with the key of their fingerprints.
+// The caller must not modify it.
 func (v *View) Poison() poison.Registry { return v.poison }
 
-// Endpoints returns all endpoints. The caller only reads them.
+// Endpoints returns all endpoints by host. The caller must not modify the map.
 func (v *View) Endpoints() map[ident.HostID]state.Endpoint { return v.endpoints }
 
-// Ready calls f for each replica of t that takes requests.
+// Ready calls f, in unspecified order, for each replica of t that accepts requests.
 func (v *View) Ready(t ident.Target, f func(state.Replica, state.Endpoint)) {
 	for id := range v.byTarget[t] {
 		r := v.replicas[id]
@@ -210,5 +214,5 @@
 	}
 }
 
-// Replicas returns all replicas. The caller only reads them.
+// Replicas returns all replicas by ID. The caller must not modify the map.
 func (v *View) Replicas() map[ident.Index]state.Replica { return v.replicas }
