--- a/internal/core/ident/ident.go
+++ b/internal/core/ident/ident.go
@@ -1,4 +1,4 @@
-// Package ident holds the identifiers that every part of the system shares:
+// Package ident defines the identifiers shared by all parts of the system:
 // hosts, process incarnations, log positions, requests and replica targets.
 package ident
 
@@ -8,43 +8,43 @@
 	"strings"
 )
 
-// HostID names a host. It comes from settings and survives restarts.
+// HostID identifies a host. It is set in the settings and does not change on restart.
 type HostID string
 
-// Zone names an availability zone. It comes from settings.
+// Zone names an availability zone. It is set in the settings.
 type Zone string
 
 // Customer names a customer as written in service records.
 type Customer string
 
-// Incarnation is new at each start of a process. A message that carries an
-// older incarnation than the newest one known comes from a process that no
-// longer exists and is ignored.
+// Incarnation identifies one run of a process and increases with each start. A
+// message with a lower incarnation than the highest one known comes from a process
+// that no longer exists and is ignored.
 type Incarnation uint64
 
-// Group names a replicated log. Today one group holds everything; at full
-// size each region has a group for replica decisions beside a global one for
-// records (docs/CAPACITY.md), so every position carries its group.
+// Group names a replicated log. At present one group holds everything. At full
+// size each region has a group for replica decisions in addition to a global one
+// for records (docs/CAPACITY.md), so every position includes its group.
 type Group string
 
 // DefaultGroup is the only group of a deployment that has not been split.
 const DefaultGroup Group = "main"
 
 // Index is a position in one group's replicated log. Positions are totally
-// ordered and never reused, so an Index serves as configuration version and as
-// fencing number.
+// ordered and never reused, so an Index also serves as configuration version and
+// as fencing token.
 type Index uint64
 
-// Position is an Index together with the group whose log it counts.
+// Position is an Index together with the group whose log it refers to.
 type Position struct {
 	Group Group `json:"group"`
 	Index Index `json:"index"`
 }
 
-// RequestID names one caller request. It is unique over all entries.
+// RequestID identifies one caller request. It is unique across all entries.
 type RequestID string
 
-// Attempt names one try of a request at one endpoint.
+// Attempt identifies one attempt of a request at one endpoint.
 type Attempt struct {
 	Request RequestID `json:"request"`
 	Number  uint32    `json:"number"`
@@ -56,7 +56,7 @@
 }
 
 // Target is what a replica serves: a model version, and optionally one adapter
-// version on top of it. The zero adapter means the base model itself.
+// version on top of it. An empty adapter means the base model itself.
 type Target struct {
 	Model          string `json:"model"`
 	Version        string `json:"version"`
@@ -85,8 +85,9 @@
 	return s
 }
 
-// ParseTarget reads the form written by Target.String. Versions may be left
-// out; the caller then picks the default version of the record.
+// ParseTarget parses the form written by Target.String. Versions may be omitted; the
+// caller then uses the default version of the record. It fails if the name of the
+// model or adapter is empty.
 func ParseTarget(s string) (Target, error) {
 	base, adapter, hasAdapter := strings.Cut(s, ":")
 	var t Target
