--- a/internal/core/contact/book.go
+++ b/internal/core/contact/book.go
@@ -56,7 +56,7 @@
 	lastGreeted time.Time
 }
 
-func (e *entry) met() bool { return e.id != consensus.None }
+func (e *entry) seen() bool { return e.id != consensus.None }
 
 // Book holds the addresses known to one host. It is not safe for concurrent use.
 type Book struct {
@@ -116,15 +116,15 @@
 func (b *Book) prune(now time.Time) {
 	for a, e := range b.byAddr {
 		if now.Sub(e.lastSeen) > keepFor {
-			b.forget(a)
+			b.remove(a)
 		}
 	}
 	for len(b.byAddr) > maxEntries {
-		b.forget(b.evictionCandidate())
+		b.remove(b.evictionCandidate())
 	}
 }
 
-func (b *Book) forget(addr string) {
+func (b *Book) remove(addr string) {
 	if id := b.byAddr[addr].id; b.byID[id] == addr {
 		delete(b.byID, id)
 	}
@@ -137,8 +137,8 @@
 	addrs := b.Kept()
 	return slices.MinFunc(addrs, func(x, y string) int {
 		p, q := b.byAddr[x], b.byAddr[y]
-		if p.met() != q.met() {
-			if q.met() {
+		if p.seen() != q.seen() {
+			if q.seen() {
 				return -1
 			}
 			return 1
@@ -161,8 +161,8 @@
 // the address in the log: a host's address may have changed while there was no leader to
 // record the change.
 func (b *Book) AddrOf(id consensus.NodeID) (string, bool) {
-	addr, met := b.byID[id]
-	return addr, met
+	addr, seen := b.byID[id]
+	return addr, seen
 }
 
 // Tell returns the addresses to share with others: hosts seen within shareFor and, unless
@@ -170,7 +170,7 @@
 func (b *Book) Tell(now time.Time, s Standing) []string {
 	var out []string
 	for _, a := range b.Kept() {
-		if e := b.byAddr[a]; e.met() && now.Sub(e.lastSeen) < shareFor {
+		if e := b.byAddr[a]; e.seen() && now.Sub(e.lastSeen) < shareFor {
 			out = append(out, a)
 		}
 	}
