--- a/internal/core/state/command.go
+++ b/internal/core/state/command.go
@@ -104,17 +104,17 @@
 
 // The outcomes.
 const (
-	OK           Code = "ok"
-	Invalid      Code = "invalid"       // the command is not valid; Message says why
-	Conflict     Code = "conflict"      // based on another revision; Present holds the content in force
-	NotFound     Code = "not_found"     // no such record, endpoint or replica
-	OverMemory   Code = "over_memory"   // the grant would overcommit the endpoint's memory
-	OverDecided  Code = "over_decided"  // the grant would exceed the maximum number of replicas
-	Unavailable  Code = "unavailable"   // the endpoint is unknown, leaving, down or without the base model
-	Stale        Code = "stale"         // an older incarnation or an outdated phase
-	InProgress   Code = "in_progress"   // another request holds the key
-	DigestDiffer Code = "digest_differ" // the key was used with another method, path or body
-	Full         Code = "full"          // a limit of the state is reached
+	OK              Code = "ok"
+	Invalid         Code = "invalid"       // the command is not valid; Message says why
+	Conflict        Code = "conflict"      // based on another revision; Present holds the content in force
+	NotFound        Code = "not_found"     // no such record, endpoint or replica
+	OverMemory      Code = "over_memory"   // the grant would overcommit the endpoint's memory
+	TooManyReplicas Code = "over_decided"  // the grant would exceed the maximum number of replicas
+	Unavailable     Code = "unavailable"   // the endpoint is unknown, leaving, down or without the base model
+	Stale           Code = "stale"         // an older incarnation or an outdated phase
+	InProgress      Code = "in_progress"   // another request holds the key
+	DigestDiffer    Code = "digest_differ" // the key was used with another method, path or body
+	Full            Code = "full"          // a limit of the state is reached
 )
 
 // Result is the answer to a command, the same on every control host.
--- a/internal/core/state/replicas.go
+++ b/internal/core/state/replicas.go
@@ -53,13 +53,13 @@
 		return Result{Code: Unavailable, Message: fmt.Sprintf("endpoint %s is unknown, down or leaving", c.Host)}
 	}
 	if s.Count(c.Target) >= s.Sold(c.Target) {
-		return Result{Code: OverDecided, Message: fmt.Sprintf("%d replicas of %s are decided already", s.Count(c.Target), c.Target)}
+		return Result{Code: TooManyReplicas, Message: fmt.Sprintf("%d replicas of %s are decided already", s.Count(c.Target), c.Target)}
 	}
 	if s.used[c.Host]+bytes > e.Memory {
 		return Result{Code: OverMemory, Message: fmt.Sprintf("%s has %d of %d bytes granted; %d more do not fit", c.Host, s.used[c.Host], e.Memory, bytes)}
 	}
 	if _, dup := s.at(c.Target, c.Host); dup {
-		return Result{Code: OverDecided, Message: fmt.Sprintf("%s is at %s already", c.Target, c.Host)}
+		return Result{Code: TooManyReplicas, Message: fmt.Sprintf("%s is at %s already", c.Target, c.Host)}
 	}
 	if base, ok := s.at(c.Target.Base(), c.Host); c.Target.IsAdapter() && (!ok || base.Phase == Draining) {
 		return Result{Code: Unavailable, Message: fmt.Sprintf("%s lacks the base model of %s", c.Host, c.Target)}
--- a/internal/core/state/state.go
+++ b/internal/core/state/state.go
@@ -28,7 +28,7 @@
 	endpoints   map[ident.HostID]Endpoint
 	replicas    map[ident.Index]Replica
 	used        map[ident.HostID]int64         // bytes of all replicas by endpoint
-	byTarget    map[ident.Target][]ident.Index // in order of decision
+	byTarget    map[ident.Target][]ident.Index // in ascending order
 	byPlacement map[placement]ident.Index
 	byHost      map[ident.HostID][]ident.Index
 	stated      map[ident.Target]Statement // requirements of each target, from the records in force
--- a/internal/core/state/state_test.go
+++ b/internal/core/state/state_test.go
@@ -47,7 +47,7 @@
 	return m.do(Command{Grant: &Grant{Target: t, Host: h}})
 }
 
-func TestGrantsKeepWithinMemoryAndWhatWasSold(t *testing.T) {
+func TestGrantsStayWithinMemoryAndMaxReplicas(t *testing.T) {
 	is := is.New(t)
 	m := newTestState()
 	is.Equal(m.grant(base, "a").Code, NotFound)
@@ -61,10 +61,10 @@
 	is.Equal(m.grant(base, "small").Code, OverMemory)
 	first := m.grant(base, "a")
 	is.Equal(first.Code, OK)
-	is.Equal(m.grant(base, "a").Code, OverDecided)
+	is.Equal(m.grant(base, "a").Code, TooManyReplicas)
 	is.Equal(m.grant(adapter, "a").Code, OK)
 	is.Equal(m.grant(base, "b").Code, OK)
-	is.Equal(m.grant(base, "c").Code, OverDecided) // the maximum is two
+	is.Equal(m.grant(base, "c").Code, TooManyReplicas) // the maximum is two
 	is.Equal(m.Used("a"), int64(65))
 	// Removing a base replica removes its adapter and makes another grant possible.
 	is.Equal(m.do(Command{Replica: &ReplicaSet{ID: first.Revision, Gone: true}}).Code, OK)
@@ -72,7 +72,7 @@
 	is.Equal(m.grant(base, "c").Code, OK)
 }
 
-func TestForgettingAnEndpointFreesItsReplicas(t *testing.T) {
+func TestRemovingAnEndpointFreesItsReplicas(t *testing.T) {
 	is := is.New(t)
 	m := newTestState()
 	m.do(Command{Submit: &Submit{Request: "1", Raw: recordText(1, 60)}})
@@ -124,7 +124,7 @@
 // An entry that fails with a claim open never settles it, so only time shows that the
 // request has ended. If the claim ended too early, a repeat would run the request again;
 // if it never ended, the key would be held forever.
-func TestClaimsEndByThemselves(t *testing.T) {
+func TestOpenClaimsBecomeUnknownAndExpire(t *testing.T) {
 	is := is.New(t)
 	m := newTestState()
 	k := ClaimKey{Customer: "c", Service: "s", Key: "1"}
