--- a/internal/core/allowance/allocator.go
+++ b/internal/core/allowance/allocator.go
@@ -8,48 +8,50 @@
 	"github.com/cassiapass/cassiapass/internal/core/ident"
 )
 
-// Allocator is the leader's side. It is not safe for concurrent use.
+// Allocator is the leader's side: it holds one token bucket per customer. It is not safe for
+// concurrent use.
 type Allocator struct {
 	tolerance Tolerance
 	accounts  map[ident.Customer]*account
-	heard     map[string]time.Time // entry to when it was heard last
-	begun     time.Time            // when limits were set first; zero if they were not
-	entries   int                  // that there are, as entries tell; those that were not heard may be cut off
+	lastSeen  map[string]time.Time // by entry: when its last message arrived
+	startedAt time.Time            // when limits were first set; zero before that
+	entries   int                  // highest number reported; entries not yet seen may be partitioned
 }
 
 // account is one customer's bucket.
 type account struct {
 	Limit
-	fill  float64 // units a second
-	level float64 // units; negative if more was used than there was
-	at    time.Time
-	parts map[string]*part
-	asked float64 // units, since the leader began
-	used  float64
+	fill      float64 // units a second
+	level     float64 // units; negative if more was used than there was
+	at        time.Time
+	byEntry   map[string]*entryAccount
+	requested float64 // units since this leader started
+	used      float64
 }
 
-// part is what is known of a customer at one entry.
-type part struct {
-	demand   demand
-	usual    float64 // units a second, as the entry told last
-	fallback float64
+// entryAccount is one customer's state at one entry.
+type entryAccount struct {
+	demand     demand
+	longDemand float64 // units a second, from the last report
+	fallback   float64
 }
 
-// NewAllocator returns the Allocator of a leader that begins.
+// NewAllocator returns the Allocator of a new leader.
 func NewAllocator(t Tolerance) *Allocator {
-	return &Allocator{tolerance: t, accounts: map[ident.Customer]*account{}, heard: map[string]time.Time{}}
+	return &Allocator{tolerance: t, accounts: map[ident.Customer]*account{}, lastSeen: map[string]time.Time{}}
 }
 
-// SetLimits puts limits in force. A customer that is listed for the first time starts with
-// a full bucket, unless the leader has only begun: others may have used it before.
+// SetLimits replaces the limits in force. A customer that is listed for the first time starts
+// with a full bucket, except in the first call of a new leader: the bucket may have been used
+// under the previous leader.
 func (l *Allocator) SetLimits(now time.Time, limits []Limit) {
 	listed := make(map[ident.Customer]bool, len(limits))
 	for _, lim := range limits {
 		listed[lim.Customer] = true
 		a := l.accounts[lim.Customer]
 		if a == nil {
-			a = &account{Limit: lim, fill: l.tolerance.fill(lim), level: lim.Burst, at: now, parts: map[string]*part{}}
-			if l.begun.IsZero() {
+			a = &account{Limit: lim, fill: l.tolerance.fill(lim), level: lim.Burst, at: now, byEntry: map[string]*entryAccount{}}
+			if l.startedAt.IsZero() {
 				a.level = l.tolerance.start(lim)
 			}
 			l.accounts[lim.Customer] = a
@@ -64,28 +66,28 @@
 			delete(l.accounts, name)
 		}
 	}
-	if l.begun.IsZero() {
-		l.begun = now
+	if l.startedAt.IsZero() {
+		l.startedAt = now
 	}
 }
 
-// Heard notes a sign of life of an entry, and how many entries it knows of; 0 if it has not
-// heard yet.
+// Heard records that a message of an entry arrived, and how many entries that entry knows of;
+// 0 if it does not know yet.
 func (l *Allocator) Heard(now time.Time, entry string, entries int) {
-	if now.Sub(l.heard[entry]) > silentAfter {
-		l.refillAll(now) // with what was kept back for it until now
+	if now.Sub(l.lastSeen[entry]) > silentAfter {
+		l.refillAll(now) // subtracts what was withheld for it until now
 	}
-	l.heard[entry] = now
+	l.lastSeen[entry] = now
 	l.entries = max(l.entries, entries)
 }
 
-// Forget drops an entry that stops as planned: it spends nothing any more.
+// Forget removes an entry that stops in an orderly way: it spends nothing any more.
 func (l *Allocator) Forget(now time.Time, entry string) {
 	l.refillAll(now)
 	for _, a := range l.accounts {
-		delete(a.parts, entry)
+		delete(a.byEntry, entry)
 	}
-	delete(l.heard, entry)
+	delete(l.lastSeen, entry)
 }
 
 func (l *Allocator) refillAll(now time.Time) {
@@ -94,7 +96,8 @@
 	}
 }
 
-// Report takes in what was used at an entry. Customers without a limit are not answered.
+// Report applies what was used at an entry and returns a Share for each customer that has a
+// limit.
 func (l *Allocator) Report(now time.Time, entry string, uses []Use) []Share {
 	l.Heard(now, entry, 0)
 	out := make([]Share, 0, len(uses))
@@ -108,88 +111,89 @@
 }
 
 func (a *account) report(now time.Time, entry string, u Use) Share {
-	p := a.parts[entry]
+	p := a.byEntry[entry]
 	if p == nil {
-		p = &part{}
-		a.parts[entry] = p
+		p = &entryAccount{}
+		a.byEntry[entry] = p
 	}
-	p.demand.add(now, u.Asked, demandMemory)
-	p.usual = u.Usual
+	p.demand.add(now, u.Requested, demandDecay)
+	p.longDemand = u.LongDemand
 	a.setLevel(a.level - u.Used)
-	a.asked += u.Asked
+	a.requested += u.Requested
 	a.used += u.Used
 	s := Share{Customer: a.Customer, Chance: 1}
 	if total := a.demand(now); total > 0 {
 		s.Chance = a.chance(total)
 		s.Pressure = total / a.Rate
 	}
-	if usual := a.usual(now); usual > 0 {
-		p.fallback = fallbackShare * a.Rate * p.usual / usual
-		s.Credit = p.fallback * creditFor.Seconds() * max(0, 1-usual/a.Rate)
+	if longDemand := a.longDemand(now); longDemand > 0 {
+		p.fallback = fallbackShare * a.Rate * p.longDemand / longDemand
+		s.FallbackBurst = p.fallback * creditDuration.Seconds() * max(0, 1-longDemand/a.Rate)
 	}
 	s.Fallback = p.fallback
 	return s
 }
 
-// usual returns the units a second that entries told as usual. What one told a while ago
-// counts less.
-func (a *account) usual(now time.Time) float64 {
+// longDemand returns the sum of the long averages that entries reported, in units a second. An
+// entry's value decays with the age of its report.
+func (a *account) longDemand(now time.Time) float64 {
 	sum := 0.0
-	for _, p := range a.parts {
-		told := demand{p.usual, p.demand.at}
-		sum += told.rate(now, usualMemory)
+	for _, p := range a.byEntry {
+		reported := demand{p.longDemand, p.demand.at}
+		sum += reported.rate(now, longDemandDecay)
 	}
 	return sum
 }
 
-// chance returns the chance of a request at a demand: what the bucket gets, and what it has
-// or owes is used or paid back within levelWithin.
+// chance returns the probability of admission at a demand, such that use equals the fill rate
+// and the level, or the debt, is used up within levelWithin.
 func (a *account) chance(demand float64) float64 {
-	return min(1, max(0, (a.fill+a.level/levelWithin.Seconds())/demand))
+	return min(1, max(0, (a.fill+a.level/levelDrainTime.Seconds())/demand))
 }
 
-// demand returns the units a second that are asked for at all entries.
+// demand returns the units a second that are asked for, over all entries.
 func (a *account) demand(now time.Time) float64 {
 	sum := 0.0
-	for _, p := range a.parts {
-		sum += p.demand.rate(now, demandMemory)
+	for _, p := range a.byEntry {
+		sum += p.demand.rate(now, demandDecay)
 	}
 	return sum
 }
 
-// refill adds what the bucket gets, less what entries that are silent may spend meanwhile.
+// refill adds the units gained since the last refill, less what silent entries may have spent
+// in that time.
 func (l *Allocator) refill(now time.Time, a *account) {
 	from := a.at
 	if !now.After(from) {
 		return
 	}
 	a.at = now
-	units := a.fill*now.Sub(from).Seconds() - l.unheard(from, now)*fallbackShare*a.Rate
-	for entry, p := range a.parts {
-		heard := l.heard[entry]
-		begin, end := heard.Add(silentAfter), heard.Add(fallbackFor)
+	units := a.fill*now.Sub(from).Seconds() - l.unseenSeconds(from, now)*fallbackShare*a.Rate
+	for entry, p := range a.byEntry {
+		seen := l.lastSeen[entry]
+		begin, end := seen.Add(silentAfter), seen.Add(fallbackDuration)
 		units -= p.fallback * overlap(from, now, begin, end).Seconds()
-		if now.After(end) || now.Sub(p.demand.at) > fallbackFor {
-			delete(a.parts, entry)
+		if now.After(end) || now.Sub(p.demand.at) > fallbackDuration {
+			delete(a.byEntry, entry)
 		}
 	}
 	a.setLevel(a.level + max(units, 0))
 }
 
-// unheard returns the seconds between two moments, times the share of entries that this
-// leader has never heard, while these may spend what an earlier leader told them. Without it
-// a part of the entries that is cut off when leaders change spends beside what the new one
-// gives to the others.
-func (l *Allocator) unheard(from, to time.Time) float64 {
-	if l.entries <= len(l.heard) {
+// unseenSeconds returns the seconds between two instants in which unseen entries may spend a
+// fallback rate of an earlier leader, times the share of entries from which this leader has
+// received nothing. Without this, entries that are partitioned during a leader change spend in
+// addition to what the new leader grants to the others.
+func (l *Allocator) unseenSeconds(from, to time.Time) float64 {
+	if l.entries <= len(l.lastSeen) {
 		return 0
 	}
-	share := 1 - float64(len(l.heard))/float64(l.entries)
-	return share * overlap(from, to, l.begun.Add(silentAfter), l.begun.Add(fallbackFor)).Seconds()
+	share := 1 - float64(len(l.lastSeen))/float64(l.entries)
+	return share * overlap(from, to, l.startedAt.Add(silentAfter), l.startedAt.Add(fallbackDuration)).Seconds()
 }
 
-// setLevel keeps the level within the burst, above and below: a customer that used more than
-// it may waits for at most about a burst's time.
+// setLevel sets the level, limited to the burst above and below 0: a customer that used too
+// much waits at most about the time in which a burst is refilled.
 func (a *account) setLevel(units float64) { a.level = min(max(units, -a.Burst), a.Burst) }
 
 // overlap returns how much of [from, to] lies within [begin, end].
@@ -203,39 +207,39 @@
 	return max(to.Sub(from), 0)
 }
 
-// Status is how one customer stands, for operators.
+// Status is the state of one customer's bucket, for operators.
 type Status struct {
 	Customer ident.Customer `json:"customer"`
 	Rate     float64        `json:"rate"`   // units a second
 	Burst    float64        `json:"burst"`  // units
 	Level    float64        `json:"level"`  // units in the bucket; negative if more was used than there was
 	Demand   float64        `json:"demand"` // units a second asked for, over all entries
-	Chance   float64        `json:"chance"` // with which requests are admitted now
-	Asked    float64        `json:"asked"`  // units, since the leader began
-	Used     float64        `json:"used"`   // units, since the leader began
+	Chance   float64        `json:"chance"` // probability with which requests are admitted now
+	Asked    float64        `json:"asked"`  // units since this leader started
+	Used     float64        `json:"used"`   // units since this leader started
 	Entries  []EntryStatus  `json:"entries"`
 }
 
-// EntryStatus is a customer's part at one entry.
+// EntryStatus is one customer's state at one entry.
 type EntryStatus struct {
 	Entry    string  `json:"entry"`
 	Demand   float64 `json:"demand"`   // units a second
-	Fallback float64 `json:"fallback"` // units a second while it cannot be reached
+	Fallback float64 `json:"fallback"` // units a second while the entry cannot reach the leader
 	Silent   bool    `json:"silent"`
-	Age      float64 `json:"ageSeconds"` // of its last report
+	Age      float64 `json:"ageSeconds"` // seconds since its last report
 }
 
-// Status returns how all customers stand, by name.
+// Status returns the status of all customers, ordered by name.
 func (l *Allocator) Status(now time.Time) []Status {
 	out := make([]Status, 0, len(l.accounts))
 	for _, a := range l.accounts {
 		l.refill(now, a)
-		s := Status{Customer: a.Customer, Rate: a.Rate, Burst: a.Burst, Level: a.level, Demand: a.demand(now), Chance: 1, Asked: a.asked, Used: a.used, Entries: []EntryStatus{}}
+		s := Status{Customer: a.Customer, Rate: a.Rate, Burst: a.Burst, Level: a.level, Demand: a.demand(now), Chance: 1, Asked: a.requested, Used: a.used, Entries: []EntryStatus{}}
 		if s.Demand > 0 {
 			s.Chance = a.chance(s.Demand)
 		}
-		for entry, p := range a.parts {
-			s.Entries = append(s.Entries, EntryStatus{entry, p.demand.rate(now, demandMemory), p.fallback, now.Sub(l.heard[entry]) > silentAfter, now.Sub(p.demand.at).Seconds()})
+		for entry, p := range a.byEntry {
+			s.Entries = append(s.Entries, EntryStatus{entry, p.demand.rate(now, demandDecay), p.fallback, now.Sub(l.lastSeen[entry]) > silentAfter, now.Sub(p.demand.at).Seconds()})
 		}
 		slices.SortFunc(s.Entries, func(x, y EntryStatus) int { return cmp.Compare(x.Entry, y.Entry) })
 		out = append(out, s)
--- a/internal/core/allowance/allowance_test.go
+++ b/internal/core/allowance/allowance_test.go
@@ -18,7 +18,7 @@
 	return customer.Allowance{Rate: rate, Burst: burst, Unit: customer.Tokens}
 }
 
-// settled returns an Allocator of customer "a" that has led long enough for a full bucket.
+// settled returns an Allocator for customer "a" whose leader has led long enough for a full bucket.
 func settled(rate, burst float64) *Allocator {
 	l := NewAllocator(Tolerance{})
 	l.SetLimits(epoch.Add(-time.Hour), []Limit{{"a", rate, burst}})
@@ -27,7 +27,8 @@
 
 func newClient(seed uint64) *Client { return NewClient(rand.New(rand.NewPCG(seed, 1)).Float64) }
 
-// report carries a report to the leader and its answer back; without a leader there is none.
+// report delivers a report to the leader and its answer to the client; without a leader the
+// report is not answered.
 func report(now time.Time, l *Allocator, entry string, c *Client) {
 	uses := c.Report(now)
 	if l == nil {
@@ -38,8 +39,8 @@
 	c.Answered(now, l.Report(now, entry, uses))
 }
 
-// spend asks for a request in each millisecond of a span, reports in between, and returns
-// the units that are admitted.
+// spend makes a request in each millisecond of a span, reports every ReportEvery, and returns
+// the units that were admitted.
 func spend(l *Allocator, entry string, c *Client, lim customer.Allowance, cost float64, from, to int) (units float64) {
 	for ms := from; ms < to; ms++ {
 		if c.Request(at(ms), "a", lim, cost).Admitted {
@@ -52,13 +53,13 @@
 	return units
 }
 
-// Guards against entries that together admit more than rate and burst, or much less.
-func TestEntriesTogetherKeepToTheBucket(t *testing.T) {
+// Guards against entries that together admit more than rate and burst allow, or much less.
+func TestEntriesTogetherStayWithinTheBucket(t *testing.T) {
 	is := is.New(t)
 	l, lim := settled(1000, 500), limitOf(1000, 500)
 	clients := []*Client{newClient(1), newClient(2), newClient(3)}
 	admitted := 0.0
-	for ms := range 4000 { // they are asked for six times the rate
+	for ms := range 4000 { // the demand is six times the rate
 		for i, c := range clients {
 			admitted += spend(l, string(rune('a'+i)), c, lim, 2, ms, ms+1)
 		}
@@ -73,7 +74,7 @@
 	is.Equal(spend(l, "e1", c, lim, 0.5, 0, 5000), 5000*0.5)
 }
 
-// Guards against an allowance of which an idle entry keeps a part.
+// Guards against idle entries that hold a part of the allowance.
 func TestOneEntryCanUseTheWholeAllowance(t *testing.T) {
 	is := is.New(t)
 	l, lim := settled(1000, 100), limitOf(1000, 100)
@@ -83,14 +84,14 @@
 	admitted, late := 0.0, newClient(2)
 	for ms := 2000; ms < 6000; ms++ {
 		for _, entry := range []string{"e1", "e2", "e3"} {
-			l.Heard(at(ms), entry, 0) // they live, and are asked for nothing
+			l.Heard(at(ms), entry, 0) // they are alive, but receive no requests
 		}
 		admitted += spend(l, "e4", late, lim, 3, ms, ms+1)
 	}
 	is.True(admitted >= 4*1000*0.95)
 }
 
-func TestDeniedRequestIsToldToComeBackLaterTheMorePressureThereIs(t *testing.T) {
+func TestRetryAfterGrowsWithPressure(t *testing.T) {
 	is := is.New(t)
 	c := NewClient(func() float64 { return 0.5 })
 	after := func(pressure float64) time.Duration {
@@ -99,13 +100,13 @@
 		c.Answered(at(0), []Share{{Customer: "a", Chance: 0, Pressure: pressure}})
 		return c.Request(at(1), "a", limitOf(1, 1), 1).After
 	}
-	is.Equal(after(0.4), comeBack)
-	is.Equal(after(3), 3*comeBack)
-	is.Equal(after(100), mostPressure*comeBack)
+	is.Equal(after(0.4), retryAfter)
+	is.Equal(after(3), 3*retryAfter)
+	is.Equal(after(100), maxPressure*retryAfter)
 }
 
-// Guards against a refused request that uses up its customer's allowance.
-func TestGivenBackUnitsAreUsableAgain(t *testing.T) {
+// Guards against a request that did not run but still uses up its customer's allowance.
+func TestRefundedUnitsAreUsableAgain(t *testing.T) {
 	is := is.New(t)
 	l, lim, c := settled(100, 100), limitOf(100, 100), newClient(1)
 	is.True(c.Request(at(0), "a", lim, 100).Admitted)
@@ -115,13 +116,13 @@
 	is.True(l.Status(at(1))[0].Level > 99)
 }
 
-// Guards against an entry cut off from the leader that spends more than the leader keeps
-// back for it.
+// Guards against an entry that is partitioned from the leader and spends more than the leader
+// withholds for it.
 func TestSilentEntrySpendsWhatIsKeptBackForIt(t *testing.T) {
 	is := is.New(t)
 	l, lim := settled(1000, 1000), limitOf(1000, 1000)
 	cut, other := newClient(1), newClient(2)
-	for ms := range 3000 { // both are asked for twice the rate
+	for ms := range 3000 { // the demand at each is twice the rate
 		spend(l, "cut", cut, lim, 2, ms, ms+1)
 		spend(l, "other", other, lim, 2, ms, ms+1)
 	}
@@ -130,14 +131,14 @@
 		cutSpent += spend(nil, "cut", cut, lim, 2, ms, ms+1)
 		otherSpent += spend(l, "other", other, lim, 2, ms, ms+1)
 	}
-	is.True(cutSpent+otherSpent <= 10*1000+1000) // rate and burst, the second before it counted as silent included
+	is.True(cutSpent+otherSpent <= 10*1000+1000) // rate and burst, including the second before it counted as silent
 	is.True(cutSpent+otherSpent >= 10*1000*0.9)
-	is.True(cutSpent > 10*1000*0.3)                             // and it does not starve
-	is.Equal(spend(nil, "cut", cut, lim, 2, 18100, 19000), 0.0) // the leader keeps nothing back any more
+	is.True(cutSpent > 10*1000*0.3)                             // it is not starved
+	is.Equal(spend(nil, "cut", cut, lim, 2, 18100, 19000), 0.0) // the leader no longer withholds anything
 }
 
-// Guards against a request that waits for a leader which does not answer, or is refused by
-// entries of which each knows its part.
+// Guards against requests that wait for a leader which does not answer, or that are refused
+// although each entry has a fallback rate.
 func TestSilentLeaderLeavesEntriesTheirFallbackRate(t *testing.T) {
 	is := is.New(t)
 	l, lim, c := settled(1000, 1000), limitOf(1000, 1000), newClient(1)
@@ -149,8 +150,8 @@
 	is.True(!c.Request(at(5002), "a", lim, 0.5).Silent)
 }
 
-// Guards against an entry that refuses the first requests after its leader fell silent, of
-// customers that use half of what they may and come to it every other second.
+// Guards against an entry that, just after its leader became silent, refuses the first requests
+// of customers that use half of their allowance and call it every other second.
 func TestSilentLeaderDoesNotStopCustomersThatComeRarely(t *testing.T) {
 	is := is.New(t)
 	l, lim := settled(5000, 5000), limitOf(5000, 5000)
@@ -182,14 +183,14 @@
 	is.True(float64(admitted) >= 0.9*float64(asked))
 }
 
-// Guards against a leader that gives the whole rate to the entries it hears, while others
-// are cut off since before it led and spend what its predecessor told them.
+// Guards against a leader that grants the whole rate to the entries it can reach, while others
+// have been partitioned since before it led and spend fallback rates of its predecessor.
 func TestNewLeaderKeepsBackForEntriesThatItHasNeverHeard(t *testing.T) {
 	is := is.New(t)
 	old, lim := settled(1000, 1000), limitOf(1000, 1000)
 	names := []string{"a", "b", "c"}
 	clients := []*Client{newClient(1), newClient(2), newClient(3)}
-	for ms := range 4000 { // four times the rate
+	for ms := range 4000 { // demand is four times the rate
 		for i, c := range clients {
 			spend(old, names[i], c, lim, 4.0/3, ms, ms+1)
 			old.Heard(at(ms), names[i], 3)
@@ -208,43 +209,43 @@
 			spent += spend(next, names[i], c, lim, 4.0/3, ms, ms+1)
 		}
 	}
-	is.True(spent <= 8*1000*1.05+1000*startShare) // 0.3 of the rate for 0.7 s is not kept back
+	is.True(spent <= 8*1000*1.05+1000*startShare) // 0.3 of the rate is not withheld for 0.7 s
 	is.True(spent >= 8*1000*0.85)
 }
 
-// Guards against a limit that falls and is kept to only after seconds.
-func TestLowerLimitIsKeptToFromTheNextReport(t *testing.T) {
+// Guards against a lowered limit that takes effect only after seconds.
+func TestLowerLimitAppliesFromTheNextReport(t *testing.T) {
 	is := is.New(t)
 	l, c := settled(10000, 10000), newClient(1)
 	spend(l, "e1", c, limitOf(10000, 10000), 8, 0, 2000)
 	l.SetLimits(at(2000), []Limit{{"a", 1000, 1000}})
 	admitted := spend(l, "e1", c, limitOf(1000, 1000), 8, 2000, 6000)
 	is.True(admitted <= 4*1000+1000+8000*ReportEvery.Seconds())
-	is.True(admitted >= 3*1000*0.9) // what was used beyond it is paid back within a second
+	is.True(admitted >= 3*1000*0.9) // the excess is paid back within a second
 }
 
-// Guards against a bucket that leaves too little of what is tolerated for late reports.
+// Guards against a bucket that leaves too little of the tolerance for late reports.
 func TestAFifthOfTheToleranceIsUsed(t *testing.T) {
 	is := is.New(t)
 	tol := Tolerance{Window: 8 * time.Second, Excess: 0.1, Slack: 17000}
 	for _, rate := range []float64{4200, 25701, 161091} {
 		lim := Limit{"a", rate, rate}
 		base := 8*rate + rate
-		used := 8*tol.fill(lim) + rate // from a full bucket on
+		used := 8*tol.fill(lim) + rate // starting from a full bucket
 		is.True(used <= base+(0.1*base+17000)/5)
-		is.True(8*tol.fill(lim) <= base) // without the full bucket no more than rate and burst
+		is.True(8*tol.fill(lim) <= base) // without the full bucket at most rate and burst
 		is.True(tol.start(lim) <= rate)
 	}
 	is.Equal(Tolerance{}.fill(Limit{"a", 100, 100}), 100.0)
 }
 
-// Guards against memory that grows with customers and entries that were met once.
-func TestWhatIsIdleIsForgotten(t *testing.T) {
+// Guards against memory that grows with every customer and entry ever seen.
+func TestIdleCustomersAndEntriesAreRemoved(t *testing.T) {
 	is := is.New(t)
 	l, lim, c := settled(1000, 1000), limitOf(1000, 1000), newClient(1)
 	spend(l, "e1", c, lim, 1, 0, 1000)
 	report(at(1000), l, "e1", c)
-	late := at(1000 + 2*int(fallbackFor.Milliseconds()))
+	late := at(1000 + 2*int(fallbackDuration.Milliseconds()))
 	report(late, l, "e1", c)
 	is.Equal(len(c.accounts), 0)
 	is.Equal(len(l.Status(late)[0].Entries), 0)
--- a/internal/core/allowance/model_test.go
+++ b/internal/core/allowance/model_test.go
@@ -9,45 +9,45 @@
 	"github.com/cassiapass/cassiapass/internal/core/customer"
 )
 
-// modelEntry is one entry of a model run.
+// modelEntry is one entry of a simulation run.
 type modelEntry struct {
-	name   string
-	client *Client
-	cut    time.Time // no message gets through until then
-	busy   time.Time // a report is under way until then
+	name      string
+	client    *Client
+	cutUntil  time.Time // no message is delivered until then
+	busyUntil time.Time // a report is in flight until then
 
 	reported time.Time
 }
 
-// spent is what was admitted at one moment.
+// spent is the use admitted at one instant.
 type spent struct {
 	at       time.Time
 	units    float64
-	borrowed bool // while the leader was silent for the entry
+	fallback bool // admitted at the fallback rate
 }
 
-// granted returns the units that the leader granted for it.
+// granted returns the units that were admitted by an answer of the leader.
 func (s spent) granted() float64 {
-	if s.borrowed {
+	if s.fallback {
 		return 0
 	}
 	return s.units
 }
 
-// model plays entries and a leader with messages that are late or lost.
+// model simulates entries and a leader with messages that are delayed or lost.
 type model struct {
-	r        *rand.Rand
-	now      time.Time
-	limit    customer.Allowance
-	leader   *Allocator
-	begun    []time.Time // of leaders
-	silent   time.Time   // no leader until then
-	entries  []*modelEntry
-	later    []func()
-	due      []time.Time
-	log      []spent
-	largest  float64
-	pressure float64
+	r             *rand.Rand
+	now           time.Time
+	limit         customer.Allowance
+	leader        *Allocator
+	leaderStarts  []time.Time // starts of leaders
+	noLeaderUntil time.Time   // no leader until then
+	entries       []*modelEntry
+	later         []func()
+	due           []time.Time
+	log           []spent
+	largest       float64
+	pressure      float64
 }
 
 func newModel(seed uint64) *model {
@@ -68,7 +68,7 @@
 
 func (m *model) lead() {
 	m.leader = NewAllocator(Tolerance{})
-	m.begun = append(m.begun, m.now)
+	m.leaderStarts = append(m.leaderStarts, m.now)
 	m.limits()
 }
 
@@ -93,20 +93,20 @@
 	}
 }
 
-// trouble draws what goes wrong in this step.
-func (m *model) trouble() {
+// injectFault draws the fault, if any, of this step.
+func (m *model) injectFault() {
 	switch m.r.IntN(400) {
-	case 0: // a new leader that knows nothing
-		m.silent = m.now.Add(time.Duration(m.r.IntN(3000)) * time.Millisecond)
+	case 0: // the leader is lost; the next one starts without knowledge
+		m.noLeaderUntil = m.now.Add(time.Duration(m.r.IntN(3000)) * time.Millisecond)
 		m.leader = nil
 	case 1:
 		e := m.entries[m.r.IntN(len(m.entries))]
-		e.cut = m.now.Add(time.Duration(m.r.IntN(10000)) * time.Millisecond)
+		e.cutUntil = m.now.Add(time.Duration(m.r.IntN(10000)) * time.Millisecond)
 	case 2:
 		m.join(100 + len(m.entries))
-	case 3: // killed and back with nothing
+	case 3: // killed and restarted without state
 		e := m.entries[m.r.IntN(len(m.entries))]
-		e.client, e.busy = NewClient(m.r.Float64), time.Time{}
+		e.client, e.busyUntil = NewClient(m.r.Float64), time.Time{}
 	case 4:
 		if m.leader == nil {
 			return
@@ -115,17 +115,17 @@
 		m.limit.Burst = max(m.limit.Rate*(0.3+m.r.Float64()), m.largest)
 		m.limits()
 	}
-	if m.leader == nil && m.now.After(m.silent) {
+	if m.leader == nil && m.now.After(m.noLeaderUntil) {
 		m.lead()
 	}
 }
 
-// talk has an entry report; the answer comes later, or not at all.
-func (m *model) talk(e *modelEntry) {
-	if m.now.Before(e.busy) || m.now.Sub(e.reported) < ReportEvery {
+// sendReport sends an entry's report; the answer arrives later or never.
+func (m *model) sendReport(e *modelEntry) {
+	if m.now.Before(e.busyUntil) || m.now.Sub(e.reported) < ReportEvery {
 		return
 	}
-	reached := m.leader != nil && !m.now.Before(e.cut)
+	reached := m.leader != nil && !m.now.Before(e.cutUntil)
 	if reached {
 		m.leader.Heard(m.now, e.name, 0)
 		e.client.Reached()
@@ -140,12 +140,12 @@
 		if reached && m.r.IntN(2) == 0 { // the answer is lost
 			leader.Report(m.now, e.name, uses)
 		}
-		e.busy = m.now.Add(250 * time.Millisecond)
+		e.busyUntil = m.now.Add(250 * time.Millisecond)
 		m.after(250, func() { c.Unanswered(m.now) })
 		return
 	}
 	there, back := m.r.IntN(8), m.r.IntN(8)
-	e.busy = m.now.Add(time.Duration(there+back+1) * time.Millisecond)
+	e.busyUntil = m.now.Add(time.Duration(there+back+1) * time.Millisecond)
 	m.after(there, func() {
 		shares := leader.Report(m.now, e.name, uses)
 		m.after(back, func() { c.Answered(m.now, shares) })
@@ -155,14 +155,14 @@
 func (m *model) step(pressure float64) {
 	m.now = m.now.Add(5 * time.Millisecond)
 	m.deliver()
-	m.trouble()
+	m.injectFault()
 	for _, e := range m.entries {
 		m.arrive(e, pressure)
-		m.talk(e)
+		m.sendReport(e)
 	}
 }
 
-// arrive has callers ask at one entry for its part of pressure times the rate.
+// arrive makes requests at one entry: its part of a demand of pressure times the rate.
 func (m *model) arrive(e *modelEntry, pressure float64) {
 	mean := pressure * m.limit.Rate * 0.005 / (m.largest / 2) / float64(len(m.entries))
 	for range int(mean + m.r.Float64()) {
@@ -177,9 +177,9 @@
 	}
 }
 
-// check compares what was admitted by the leader's word in every window with what the
-// argument of the package allows: rate and burst, a part of a burst for each leader that
-// began, and what was asked for between two answers.
+// check compares the units admitted by the leader's answers in every window with the bound
+// given in the package comment: rate and burst, a part of a burst for each leader that
+// started, and the demand between two answers.
 func (m *model) check(t *testing.T, seed uint64, window time.Duration) {
 	first, granted := 0, 0.0
 	for _, s := range m.log {
@@ -188,23 +188,24 @@
 			granted -= m.log[first].granted()
 		}
 		leaders := 0
-		for _, b := range m.begun {
+		for _, b := range m.leaderStarts {
 			if b.After(s.at.Add(-window - silentAfter)) {
 				leaders++
 			}
 		}
-		// A report and its loss take 0.2 s and 0.25 s, in which each entry admits one request
-		// at least; each leader begins without knowledge.
+		// A report interval is 0.2 s and a lost report takes another 0.25 s; in this time each
+		// entry admits at least one request. Each leader starts without knowledge.
 		blind := m.pressure*m.limit.Rate*(ReportEvery+250*time.Millisecond).Seconds() + m.largest*float64(len(m.entries))
-		most := m.limit.Rate*window.Seconds() + m.limit.Burst + blind*float64(1+leaders) + m.limit.Burst*startShare*float64(leaders)
-		if granted > most {
-			t.Fatalf("seed %d: %.0f units were admitted in the %v before %v; %.0f are allowed", seed, granted, window, s.at.Sub(epoch), most)
+		bound := m.limit.Rate*window.Seconds() + m.limit.Burst + blind*float64(1+leaders) + m.limit.Burst*startShare*float64(leaders)
+		if granted > bound {
+			t.Fatalf("seed %d: %.0f units were admitted in the %v before %v; %.0f are allowed", seed, granted, window, s.at.Sub(epoch), bound)
 		}
 	}
 }
 
-// Guards against a schedule of joins, cuts, kills, lost answers and new leaders in which
-// entries spend more granted units than there were, and against units lost for good.
+// Guards against schedules of joins, partitions, kills, lost answers and new leaders in which
+// entries spend more granted units than were available, and against units that are lost
+// permanently.
 func TestRandomSchedulesKeepToTheAllowance(t *testing.T) {
 	const runs, shards, steps = 10000, 8, 600
 	for shard := range uint64(shards) {
@@ -212,37 +213,38 @@
 			t.Parallel()
 			for seed := shard; seed < runs; seed += shards {
 				m := newModel(seed)
-				m.play(steps)
+				m.run(steps)
 				m.check(t, seed, time.Second)
 				m.check(t, seed, 2*time.Second)
-				m.calm(t, seed)
+				m.checkRecovery(t, seed)
 			}
 		})
 	}
 }
 
-// play plays trouble. Windows over two limits have no one bound: what was spent before a
-// change is left out, and what entries and the bucket held then counts like a new leader.
-func (m *model) play(steps int) {
+// run runs steps with faults. A window that spans a change of the limit has no single bound:
+// what was spent before the change is left out, and what entries and the bucket held at the
+// change counts like the start of a new leader.
+func (m *model) run(steps int) {
 	m.pressure = 0.2 + 4*m.r.Float64()
 	for range steps {
 		before := m.limit
 		m.step(m.pressure)
 		if m.limit != before {
 			m.log = nil
-			m.begun = append(m.begun, m.now)
+			m.leaderStarts = append(m.leaderStarts, m.now)
 		}
 	}
 }
 
-// calm plays on without trouble under more demand than the rate, and requires that the
+// checkRecovery continues without faults under more demand than the rate, and requires that the
 // allowance is used again.
-func (m *model) calm(t *testing.T, seed uint64) {
+func (m *model) checkRecovery(t *testing.T, seed uint64) {
 	if m.leader == nil {
 		m.lead()
 	}
 	for _, e := range m.entries {
-		e.cut = time.Time{}
+		e.cutUntil = time.Time{}
 	}
 	m.log = nil
 	from := m.now
@@ -253,7 +255,7 @@
 			m.deliver()
 			for _, e := range m.entries {
 				m.arrive(e, 3)
-				if !m.now.Before(e.busy) && m.now.Sub(e.reported) >= ReportEvery {
+				if !m.now.Before(e.busyUntil) && m.now.Sub(e.reported) >= ReportEvery {
 					e.reported = m.now
 					report(m.now, m.leader, e.name, e.client)
 				}
@@ -266,7 +268,7 @@
 		return sum
 	}
 	calm(2 * time.Second)
-	// Requests are admitted by chance: a few large ones more or less are no loss.
+	// Admission is random: a deviation by a few large requests is not a loss.
 	if used, may := calm(6*time.Second), m.limit.Rate*6; used < 0.8*may-4*m.largest {
 		t.Fatalf("seed %d: from %v on only %.0f of %.0f units are used", seed, from.Sub(epoch), used, may)
 	}
