--- a/internal/core/allowance/allocator.go
+++ b/internal/core/allowance/allocator.go
@@ -146,7 +146,7 @@
 }
 
 // chance returns the probability of admission at a demand, such that use equals the fill rate
-// and the level, or the debt, is used up within levelWithin.
+// and the level, or the debt, is used up within levelDrainTime.
 func (a *account) chance(demand float64) float64 {
 	return min(1, max(0, (a.fill+a.level/levelDrainTime.Seconds())/demand))
 }
