--- a/internal/core/customer/allowance.go
+++ b/internal/core/customer/allowance.go
@@ -12,33 +12,33 @@
 // The units.
 const (
 	Requests Unit = iota
-	Tokens        // prompt tokens and most output tokens that a request announces
+	Tokens        // prompt tokens and the maximum of output tokens that a request announces
 )
 
-// Allowance is what a customer may ask for, over all entries together.
+// Allowance is the rate and burst of a customer, over all entries together.
 type Allowance struct {
 	Rate  float64 // units a second; 0 if there is no limit
-	Burst float64 // units beyond the rate at once
+	Burst float64 // units that may be used at once in addition to the rate
 	Unit  Unit
 	Plain float64 // units of a request that announces no tokens; only with Tokens
 }
 
-// mostRate bounds rates and bursts: beyond it, sums over a day lose single units.
-const mostRate = 1e12
+// maxRate bounds rates and bursts: above it, sums over a day lose single units to rounding.
+const maxRate = 1e12
 
-// Limited reports whether there is a limit.
+// Limited reports whether the rate is limited.
 func (a Allowance) Limited() bool { return a.Rate > 0 }
 
-// Cost returns what a request counts. announced is its number of tokens; told is false
-// if it does not say.
-func (a Allowance) Cost(announced int, told bool) float64 {
+// Cost returns the cost of a request in units. tokens is the number of tokens that the request
+// announces; announced is false if it announces none.
+func (a Allowance) Cost(tokens int, announced bool) float64 {
 	switch {
 	case a.Unit == Requests:
 		return 1
-	case !told:
+	case !announced:
 		return a.Plain
 	}
-	return float64(max(announced, 0))
+	return float64(max(tokens, 0))
 }
 
 func (a Allowance) check() error {
@@ -51,8 +51,8 @@
 			return fmt.Errorf("the %s is not a number", v.name)
 		case v.value < 0:
 			return fmt.Errorf("the %s is negative", v.name)
-		case v.value > mostRate:
-			return fmt.Errorf("the %s is above %g", v.name, mostRate)
+		case v.value > maxRate:
+			return fmt.Errorf("the %s is above %g", v.name, maxRate)
 		}
 	}
 	if a.Unit > Tokens {
--- a/internal/core/customer/book.go
+++ b/internal/core/customer/book.go
@@ -7,22 +7,23 @@
 	"github.com/cassiapass/cassiapass/internal/core/ident"
 )
 
-// Customer is who callers ask for.
+// Customer is the party on whose behalf callers send requests.
 type Customer struct {
 	Name      ident.Customer
-	Ranked    bool // Priority goes before the route's
+	Ranked    bool // Priority overrides the route's
 	Priority  int  // 0 is the most urgent
 	Allowance Allowance
 }
 
-// Entry is a customer with its keys, as a deployment lists it.
+// Entry is a customer with its keys, as listed in a deployment.
 type Entry struct {
 	Customer
 	Keys []Key
 }
 
-// mostKey bounds a key in bytes: longer ones are mistakes, and are kept by every process.
-const mostKey = 1 << 10
+// maxKeyBytes bounds the length of a key in bytes: longer ones are mistakes, and would be held in
+// the memory of every process.
+const maxKeyBytes = 1 << 10
 
 // Book holds the customers of one deployment. It is read-only once built.
 type Book struct {
@@ -64,8 +65,8 @@
 		if k == "" {
 			return fmt.Errorf("customer %q has an empty key", c.Name)
 		}
-		if len(k) > mostKey {
-			return fmt.Errorf("customer %q has a key of %d bytes; %d are allowed", c.Name, len(k), mostKey)
+		if len(k) > maxKeyBytes {
+			return fmt.Errorf("customer %q has a key of %d bytes; %d are allowed", c.Name, len(k), maxKeyBytes)
 		}
 		digest := b.digester.Digest(k)
 		if other, taken := b.byKey[digest]; taken {
@@ -99,30 +100,30 @@
 	}
 }
 
-// Credential is what a request says of its caller.
+// Credential is the authentication that a request carries.
 type Credential struct {
 	Key   Key
-	Given bool // the request carries a field for it, whatever that holds
-	Bad   bool // the field is malformed or doubled
+	Given bool // the request has an authentication field, whatever its value
+	Bad   bool // the field is malformed or repeated
 }
 
-// Standing is how a request stands with the Book.
+// Standing is the result of Identify.
 type Standing uint8
 
 // The standings.
 const (
-	Unknown   Standing = iota // its key is not known, malformed or missing
-	Anonymous                 // it has no key and needs none
+	Unknown   Standing = iota // the key is unknown, malformed or missing
+	Anonymous                 // the request has no key and needs none
 	Known
 )
 
-// Identify tells who asks. A key that is given must be known even where none is needed:
-// its caller believes to be somebody, and would be treated as nobody.
+// Identify returns the customer of a request. A key that is given must be known even if none
+// is required: its caller expects to be identified and would be treated as anonymous instead.
 func (b *Book) Identify(c Credential, anonymous bool) (*Customer, Digest, Standing) {
 	switch {
 	case !c.Given && anonymous:
 		return nil, Digest{}, Anonymous
-	case !c.Given, c.Bad, c.Key == "", len(c.Key) > mostKey:
+	case !c.Given, c.Bad, c.Key == "", len(c.Key) > maxKeyBytes:
 		return nil, Digest{}, Unknown
 	}
 	d := b.digester.Digest(c.Key)
@@ -133,7 +134,8 @@
 	return found, d, Known
 }
 
-// Holds reports whether a key that was known before still is, and the same customer's.
+// Holds reports whether a key that was known before is still known and still belongs to the
+// same customer.
 func (b *Book) Holds(d Digest, name ident.Customer) bool {
 	c := b.byKey[d]
 	return c != nil && c.Name == name
--- a/internal/core/customer/customer_test.go
+++ b/internal/core/customer/customer_test.go
@@ -18,8 +18,8 @@
 	return Entry{Customer: Customer{Name: name}, Keys: keys}
 }
 
-// Guards against a book that takes a mistake in, or names a key in its refusal.
-func TestBookRefusesMistakesWithoutNamingKeys(t *testing.T) {
+// Guards against a Book that accepts an invalid entry, or shows a key in its error message.
+func TestBookRejectsInvalidEntriesWithoutShowingKeys(t *testing.T) {
 	limited := func(a Allowance) Entry { return Entry{Customer: Customer{Name: "a", Allowance: a}} }
 	for name, tc := range map[string]struct {
 		entries []Entry
@@ -44,7 +44,7 @@
 			_, err := NewBook(testDigester, tc.entries)
 			is.True(err != nil)
 			is.True(strings.Contains(err.Error(), tc.want))
-			is.True(!strings.Contains(err.Error(), "s3cret")) // a key stands in no error
+			is.True(!strings.Contains(err.Error(), "s3cret")) // no error shows a key
 		})
 	}
 }
@@ -63,7 +63,7 @@
 		{given("k1"), false, Known, "a"},
 		{given("k2"), true, Known, "a"},
 		{given("k3"), false, Unknown, ""},
-		{given("k3"), true, Unknown, ""}, // a key that nobody has is refused even where none is needed
+		{given("k3"), true, Unknown, ""}, // an unknown key is refused even if none is required
 		{given(""), true, Unknown, ""},
 		{Credential{Given: true, Bad: true, Key: "k1"}, false, Unknown, ""},
 		{Credential{}, false, Unknown, ""},
@@ -77,7 +77,7 @@
 	}
 	_, d, _ := b.Identify(given("k1"), false)
 	is.True(b.Holds(d, "a"))
-	is.True(!b.Holds(d, "none")) // a key that went over to another customer is not held
+	is.True(!b.Holds(d, "none")) // the key belongs to another customer now
 }
 
 // Guards against a key that is printed by a log line, an error or an encoder.
@@ -99,5 +99,5 @@
 	tokens := Allowance{Unit: Tokens, Plain: 200}
 	is.Equal(tokens.Cost(900, true), 900.0)
 	is.Equal(tokens.Cost(0, false), 200.0)
-	is.Equal(tokens.Cost(-5, true), 0.0) // nobody earns allowance by a negative size
+	is.Equal(tokens.Cost(-5, true), 0.0) // a negative size does not add to the allowance
 }
--- a/internal/core/customer/doc.go
+++ b/internal/core/customer/doc.go
@@ -1,5 +1,5 @@
-// Package customer tells callers apart: which customer a key belongs to, whether a
-// request may run, and what it counts against the customer's allowance. It is pure data
-// with checks and look-ups, and holds no key: only keyed digests, so that neither a log
-// line nor a memory dump of a table shows what callers sign in with.
+// Package customer identifies callers: which customer a key belongs to, whether a request
+// may run, and what it costs of the customer's allowance. It consists of data with checks
+// and look-ups. It stores no keys, only keyed digests, so that neither a log line nor a memory
+// dump of a table reveals the keys of callers.
 package customer
--- a/internal/core/customer/key.go
+++ b/internal/core/customer/key.go
@@ -5,8 +5,8 @@
 	"crypto/sha256"
 )
 
-// Key is what a caller signs in with. It prints as a placeholder, so that it cannot
-// reach a log line or an error text through a format verb.
+// Key is the secret by which a caller authenticates. It prints as a placeholder, so that it
+// cannot reach a log line or an error text through a format verb.
 type Key string
 
 const redacted = "[key]"
@@ -20,17 +20,18 @@
 // MarshalText implements encoding.TextMarshaler.
 func (Key) MarshalText() ([]byte, error) { return []byte(redacted), nil }
 
-// Digest stands for a key within one process.
+// Digest identifies a key within one process.
 type Digest [sha256.Size]byte
 
-// String implements fmt.Stringer: a digest is as good as a key to whoever can replay it.
+// String implements fmt.Stringer. It redacts the digest, since a digest is as good as the key
+// for anyone who can replay it.
 func (Digest) String() string { return redacted }
 
-// Digester makes digests with a secret of its own. Without the secret nobody can work out
-// keys that share a bucket of the look-up table.
+// Digester computes digests of keys with a secret. Without the secret nobody can construct
+// keys that collide in a bucket of the look-up table.
 type Digester struct{ secret []byte }
 
-// NewDigester returns a Digester; the secret should be drawn anew by each process.
+// NewDigester returns a Digester; each process should generate a random secret of its own.
 func NewDigester(secret []byte) Digester { return Digester{secret} }
 
 // Digest returns the digest of a key.
