--- a/internal/core/poison/book.go
+++ b/internal/core/poison/book.go
@@ -7,76 +7,77 @@
 )
 
 const (
-	// EndsToQuarantine is how many starts of endpoints end under a request before it is run
-	// no more. Two happen to the innocent: a request under the first end is sent again, and
-	// meets the guilty one again where few endpoints hold their model.
+	// EndsToQuarantine is the number of endpoint incarnations that must end under a request
+	// before it is quarantined. Two happen to harmless requests: a request under a first end is
+	// sent again, and runs beside the harmful one again if few endpoints hold their model.
 	EndsToQuarantine = 3
-	// CaseStays is how long ends count: a guilty request may come again after minutes.
-	CaseStays = 10 * time.Minute
-	// QuarantineStays is how long a quarantined request is refused before it is tried once
-	// more: its endpoints may run another release by then.
+	// CaseRetention is how long ends count: a harmful request may be sent again after minutes.
+	CaseRetention = 10 * time.Minute
+	// QuarantineStays is how long a quarantined request is refused before it is run once more:
+	// its endpoints may run another release by then.
 	QuarantineStays = 30 * time.Minute
-	// mostCases bounds a Book: 180 endpoints of 16 requests that end together make 2,880.
-	mostCases = 4096
-	// together is within what time ends that were told by entries without a memory of answers
-	// count as one: a zone that fails takes its endpoints within less.
-	together = 500 * time.Millisecond
-	// mostTogether bounds the starts that are kept of such ends.
-	mostTogether = 64
+	// maxCases bounds a Book: 180 endpoints with 16 requests each that end together make 2,880
+	// cases.
+	maxCases = 4096
+	// concurrentWithin is the time within which ends that were reported by cold entries (End.Cold) count
+	// as one: a zone failure ends its endpoints within less.
+	concurrentWithin = 500 * time.Millisecond
+	// maxConcurrent bounds the incarnations that are kept for such ends.
+	maxConcurrent = 64
 )
 
-// End tells that a start of an endpoint ended while it ran a request.
+// End reports that an incarnation of an endpoint ended while it ran a request.
 type End struct {
 	Request Fingerprint `json:"request"`
-	Start   string      `json:"start"` // of the endpoint's process; another one after a restart
-	// Cold tells that the entry has not run for long enough to know which requests are often
-	// answered: see Recent. Symptom if its word counted like any other: all processes are
-	// killed, and just after they are back three endpoints fail together; look-ups that are all
-	// alike ran on each, no entry remembers an answer, and all of them are refused.
+	Start   string      `json:"start"` // incarnation of the endpoint's process; another one after a restart
+	// Cold is set if the entry has not run for long enough to know which requests are often
+	// answered: see Recent. If its report counted like any other, identical look-ups could be
+	// quarantined: all processes are killed, and just after their restart three endpoints fail
+	// together; look-ups ran on each, no entry remembers an answer, and all of them are refused.
 	Cold bool `json:"cold,omitempty"`
 }
 
-// Case is what is known of one request.
+// Case is the evidence against one request.
 type Case struct {
 	Request Fingerprint `json:"request"`
-	// Starts are those that ended under it, oldest first.
+	// Starts are the incarnations that ended under it, oldest first.
 	Starts []string `json:"starts,omitempty"`
-	// Beside are starts that ended together with one of these and do not count.
-	Beside []string `json:"beside,omitempty"`
-	// Quarantined tells since when it is refused; zero if it is not.
+	// Concurrent are incarnations that ended together with one of Starts and do not count.
+	Concurrent []string `json:"beside,omitempty"`
+	// Quarantined is the start of the quarantine; zero if there is none.
 	Quarantined time.Time `json:"quarantined,omitzero"`
-	At          time.Time `json:"at,omitzero"` // of the newest end
+	At          time.Time `json:"at,omitzero"` // time of the newest end
 }
 
-// Book keeps the cases that one process knows of. It is not safe for concurrent use.
+// Book holds the cases known to one process. It is not safe for concurrent use.
 type Book struct {
-	cases map[Fingerprint]*Case
-	stays time.Duration // of a quarantine
+	cases      map[Fingerprint]*Case
+	quarantine time.Duration // duration of a quarantine
 }
 
 // NewBook returns an empty Book with quarantines of QuarantineStays.
 func NewBook() *Book { return NewBookFor(QuarantineStays) }
 
-// NewBookFor returns an empty Book with quarantines that last for so long.
-func NewBookFor(stays time.Duration) *Book {
-	return &Book{cases: map[Fingerprint]*Case{}, stays: stays}
+// NewBookFor returns an empty Book with quarantines of the given duration.
+func NewBookFor(quarantine time.Duration) *Book {
+	return &Book{cases: map[Fingerprint]*Case{}, quarantine: quarantine}
 }
 
-// Ended takes an end in. It reports whether it was not known, and whether the request is
-// quarantined by it.
-func (b *Book) Ended(now time.Time, e End) (news, quarantined bool) {
+// Ended records an end. It reports whether the end was not known yet, and whether it
+// quarantines the request.
+func (b *Book) Ended(now time.Time, e End) (isNew, quarantined bool) {
 	c, known := b.cases[e.Request]
 	if !known {
-		b.makeRoom()
+		b.evict()
 		c = &Case{Request: e.Request}
 		b.cases[e.Request] = c
 	}
-	b.lapse(now, c)
-	if slices.Contains(c.Starts, e.Start) || slices.Contains(c.Beside, e.Start) {
+	b.expire(now, c)
+	if slices.Contains(c.Starts, e.Start) || slices.Contains(c.Concurrent, e.Start) {
 		return false, false
 	}
-	if e.Cold && len(c.Starts) > 0 && now.Sub(c.At) < together {
-		c.Beside = append(c.Beside[max(0, len(c.Beside)-mostTogether+1):], e.Start)
+	if e.Cold && len(c.Starts) > 0 && now.Sub(c.At) < concurrentWithin {
+		c.Concurrent = append(c.Concurrent[max(0, len(c.Concurrent)-maxConcurrent+1):], e.Start)
 		return true, false
 	}
 	c.Starts, c.At = append(c.Starts, e.Start), now
@@ -87,26 +88,26 @@
 	return true, true
 }
 
-// Clear forgets a request: it was answered whole, or an operator says so. It reports
-// whether anything was known of it.
+// Clear removes the case of a request that was answered completely or cleared by an operator.
+// It reports whether there was a case.
 func (b *Book) Clear(f Fingerprint) bool {
 	_, known := b.cases[f]
 	delete(b.cases, f)
 	return known
 }
 
-// Restore takes in a quarantine that was decided before, perhaps on another host. Its time
-// begins anew: that of another host's clock says nothing here.
+// Restore adds a quarantine that was decided earlier, possibly on another host. Its duration
+// starts again, since the time of another host's clock has no meaning here.
 func (b *Book) Restore(now time.Time, c Case) {
 	c.Quarantined, c.At = now, now
 	b.cases[c.Request] = &c
 }
 
-// Forgive takes back what was counted for a start: its end had another cause. A quarantine
-// that it led to ends.
-func (b *Book) Forgive(start string) {
+// Forgive removes an incarnation from all cases, since its end had another cause. A quarantine
+// that no longer has enough ends is lifted.
+func (b *Book) Forgive(incarnation string) {
 	for f, c := range b.cases {
-		at := slices.Index(c.Starts, start)
+		at := slices.Index(c.Starts, incarnation)
 		if at < 0 {
 			continue
 		}
@@ -123,14 +124,14 @@
 // Len returns how many cases there are.
 func (b *Book) Len() int { return len(b.cases) }
 
-// Put takes in a case as it is, of a Book that was stored.
+// Put adds a case unchanged, when a stored Book is read.
 func (b *Book) Put(c Case) { b.cases[c.Request] = &c }
 
-// Standing is how a request is to be treated.
+// Standing tells how a request is to be treated.
 type Standing struct {
-	Ends        int           // starts that ended under it
-	Quarantined bool          // it is not run
-	Left        time.Duration // of the quarantine
+	Ends        int           // incarnations that ended under it
+	Quarantined bool          // it must not be run
+	Left        time.Duration // remaining time of the quarantine
 }
 
 // Standing returns a request's standing.
@@ -139,44 +140,44 @@
 	if !known {
 		return Standing{}
 	}
-	b.lapse(now, c)
+	b.expire(now, c)
 	s := Standing{Ends: len(c.Starts)}
 	if !c.Quarantined.IsZero() {
-		s.Quarantined, s.Left = true, b.stays-now.Sub(c.Quarantined)
+		s.Quarantined, s.Left = true, b.quarantine-now.Sub(c.Quarantined)
 	}
 	return s
 }
 
-// lapse ends what is over in a case: ends that are too old, or the quarantine, which leaves
-// the request one end short of the next one.
-func (b *Book) lapse(now time.Time, c *Case) {
+// expire removes what has expired in a case: ends that are too old, or the quarantine, after
+// which the request is one end short of the next quarantine.
+func (b *Book) expire(now time.Time, c *Case) {
 	switch {
-	case c.Quarantined.IsZero() && now.Sub(c.At) > CaseStays:
-		c.Starts, c.Beside = nil, nil
-	case !c.Quarantined.IsZero() && now.Sub(c.Quarantined) >= b.stays:
+	case c.Quarantined.IsZero() && now.Sub(c.At) > CaseRetention:
+		c.Starts, c.Concurrent = nil, nil
+	case !c.Quarantined.IsZero() && now.Sub(c.Quarantined) >= b.quarantine:
 		c.Quarantined, c.At = time.Time{}, now
 		c.Starts = slices.Clone(c.Starts[max(0, len(c.Starts)-EndsToQuarantine+1):])
 	}
 }
 
-// Sweep forgets cases in which nothing counts any more, and returns the requests whose
-// quarantine has ended.
+// Sweep removes cases without ends that still count, and returns the requests whose quarantine
+// has expired.
 func (b *Book) Sweep(now time.Time) []Fingerprint {
-	var over []Fingerprint
+	var expired []Fingerprint
 	for f, c := range b.cases {
 		before := c.Quarantined
-		b.lapse(now, c)
+		b.expire(now, c)
 		if !before.IsZero() && c.Quarantined.IsZero() {
-			over = append(over, f)
+			expired = append(expired, f)
 		}
 		if len(c.Starts) == 0 {
 			delete(b.cases, f)
 		}
 	}
-	return over
+	return expired
 }
 
-// StartsOf returns the starts that ended under a request.
+// StartsOf returns the incarnations that ended under a request.
 func (b *Book) StartsOf(f Fingerprint) []string {
 	if c, known := b.cases[f]; known {
 		return c.Starts
@@ -184,8 +185,8 @@
 	return nil
 }
 
-// Cases returns all cases, the gravest first: quarantined ones, then those with most ends,
-// then the newest.
+// Cases returns all cases, the most severe first: by number of ends, so that quarantined ones
+// come first, then the newest.
 func (b *Book) Cases() []Case {
 	out := make([]Case, 0, len(b.cases))
 	for _, c := range b.cases {
@@ -201,12 +202,12 @@
 	return out
 }
 
-// makeRoom drops the least grave cases when the book is full.
-func (b *Book) makeRoom() {
-	if len(b.cases) < mostCases {
+// evict drops the least severe quarter of the cases when the book is full.
+func (b *Book) evict() {
+	if len(b.cases) < maxCases {
 		return
 	}
-	for _, c := range b.Cases()[mostCases*3/4:] {
+	for _, c := range b.Cases()[maxCases*3/4:] {
 		delete(b.cases, c.Request)
 	}
 }
--- a/internal/core/poison/told.go
+++ b/internal/core/poison/docket.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	// mostTold bounds what entries are told of beside quarantines: 4 kB for each of some
-	// hundred entries. The gravest cases come first; of the others an entry knows what it
-	// saw itself.
-	mostTold = 64
-	// clearedStays is how long entries are told that a request was cleared, so that they
-	// forget what they saw themselves.
-	clearedStays = 10 * time.Second
+	// maxPublished bounds what is published to entries in addition to quarantines: 4 kB for each of
+	// some hundred entries. The most severe cases come first; of the others an entry knows what
+	// it observed itself.
+	maxPublished = 64
+	// clearedRetention is how long it is published to entries that a request was cleared, so that
+	// they discard what they observed themselves.
+	clearedRetention = 10 * time.Second
 )
 
-// Told is what the leader tells entries of one request.
+// Told is what the leader publishes to entries about one request.
 type Told struct {
 	Request Fingerprint   `json:"request"`
-	Ends    int           `json:"ends"`           // starts that ended under it; 0 if it was cleared
-	Left    time.Duration `json:"left,omitempty"` // of its quarantine; 0 if there is none
+	Ends    int           `json:"ends"`           // incarnations that ended under it; 0 if it was cleared
+	Left    time.Duration `json:"left,omitempty"` // remaining time of its quarantine; 0 if there is none
 }
 
-// Docket is a Book as the leader keeps it, with what entries are to be told. It is not safe
-// for concurrent use.
+// Docket is the leader's Book, with what is to be published to entries. It is not safe for
+// concurrent use.
 type Docket struct {
 	*Book
 	cleared map[Fingerprint]time.Time
@@ -38,8 +38,8 @@
 	return d
 }
 
-// Clear forgets a request and has entries told so. It reports whether anything was known of
-// it.
+// Clear removes the case of a request and has this published to entries. It reports whether
+// there was a case.
 func (d *Docket) Clear(now time.Time, f Fingerprint) bool {
 	if !d.Book.Clear(f) {
 		return false
@@ -48,17 +48,18 @@
 	return true
 }
 
-// Ended takes an end in, as Book does. Of too many quarantines the oldest is lifted.
-func (d *Docket) Ended(now time.Time, e End) (news, quarantined bool) {
+// Ended records an end as Book.Ended does. If there are too many quarantines the oldest is
+// lifted.
+func (d *Docket) Ended(now time.Time, e End) (isNew, quarantined bool) {
 	delete(d.cleared, e.Request)
-	news, quarantined = d.Book.Ended(now, e)
+	isNew, quarantined = d.Book.Ended(now, e)
 	if !quarantined {
-		return news, false
+		return isNew, false
 	}
-	if qs := d.Quarantined(); len(qs) > mostQuarantined {
+	if qs := d.Quarantined(); len(qs) > maxQuarantined {
 		d.Clear(now, slices.MinFunc(qs, func(a, b Case) int { return a.Quarantined.Compare(b.Quarantined) }).Request)
 	}
-	return news, true
+	return isNew, true
 }
 
 // Quarantined returns the cases that are quarantined.
@@ -66,8 +67,8 @@
 	return slices.DeleteFunc(d.Cases(), func(c Case) bool { return c.Quarantined.IsZero() })
 }
 
-// Tell returns what entries are to be told: all quarantines, and what is newest and gravest of
-// the rest.
+// Tell returns what is to be published to entries: all quarantines, the most severe and newest
+// of the other cases, and the requests cleared within clearedRetention.
 func (d *Docket) Tell(now time.Time) []Told {
 	var out []Told
 	others := 0
@@ -76,16 +77,16 @@
 		if !s.Quarantined {
 			others++
 		}
-		if s.Quarantined || others <= mostTold {
+		if s.Quarantined || others <= maxPublished {
 			out = append(out, Told{Request: c.Request, Ends: s.Ends, Left: s.Left})
 		}
 	}
 	others = 0
 	for f, at := range d.cleared {
 		switch {
-		case now.Sub(at) > clearedStays:
+		case now.Sub(at) > clearedRetention:
 			delete(d.cleared, f)
-		case others < mostTold:
+		case others < maxPublished:
 			others++
 			out = append(out, Told{Request: f})
 		}
@@ -93,8 +94,8 @@
 	return out
 }
 
-// Due returns the note that brings a registry in line with the docket, and whether there is
-// anything to note.
+// Due returns the note that makes a registry agree with the docket, and whether there is
+// anything to change.
 func (d *Docket) Due(r Registry) (Note, bool) {
 	var n Note
 	quarantined := map[Fingerprint]bool{}
--- a/internal/core/poison/fingerprint.go
+++ b/internal/core/poison/fingerprint.go
@@ -8,21 +8,22 @@
 	"errors"
 )
 
-// Key is what fingerprints are made with: all processes of a deployment use the same one.
-// Without it nobody can find two requests that have one fingerprint, or tell from a
-// fingerprint in a log what a guessed request was.
+// Key is the key of the fingerprints; all processes of a deployment use the same one. Without
+// it nobody can construct two requests with the same fingerprint, or check a guess of a request
+// against a fingerprint in a log.
 type Key []byte
 
 // KeySize is the length of a Key in bytes.
 const KeySize = 32
 
-// Fingerprint names a request by what an endpoint is given to run, in place of its body.
-// It is the same each time that the request comes, whatever its id and through whichever
+// Fingerprint identifies a request by the content that an endpoint receives, and is used in
+// place of the body. It is the same for each attempt, independent of the request id and of the
 // entry.
 type Fingerprint [16]byte
 
-// Fingerprint returns the fingerprint of a request from its parts: where it goes and what
-// it holds. Parts do not run into each other.
+// Fingerprint returns the fingerprint of a request from its parts: its destination and its
+// content. Each part is preceded by its length, so that different divisions into parts give
+// different fingerprints.
 func (k Key) Fingerprint(parts ...[]byte) Fingerprint {
 	h := hmac.New(sha256.New, k)
 	var size [8]byte
@@ -36,7 +37,7 @@
 	return f
 }
 
-// String returns f in hexadecimal, as logs and operators name it.
+// String returns f in hexadecimal, as used in logs and by operators.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
--- a/internal/core/poison/poison_test.go
+++ b/internal/core/poison/poison_test.go
@@ -34,10 +34,10 @@
 	is.Equal(e, End{Request: f, Start: "e"})
 }
 
-func TestThreeDifferentStartsQuarantine(t *testing.T) {
+func TestThreeDifferentIncarnationsQuarantine(t *testing.T) {
 	is := is.New(t)
 	b, f := NewBook(), name("x")
-	for _, s := range []string{"a", "a", "b", "a"} { // each end is told by several entries
+	for _, s := range []string{"a", "a", "b", "a"} { // several entries report each end
 		_, q := b.Ended(start, End{Request: f, Start: s})
 		is.True(!q)
 	}
@@ -50,7 +50,7 @@
 	is.Equal(b.Standing(start, name("y")), Standing{})
 }
 
-func TestWholeAnswerClears(t *testing.T) {
+func TestCompleteAnswerClears(t *testing.T) {
 	is := is.New(t)
 	b, f := NewBook(), name("x")
 	b.Ended(start, End{Request: f, Start: "a"})
@@ -67,11 +67,11 @@
 	b, f := NewBook(), name("x")
 	b.Ended(start, End{Request: f, Start: "a"})
 	b.Ended(start, End{Request: f, Start: "b"})
-	later := start.Add(CaseStays + time.Second)
+	later := start.Add(CaseRetention + time.Second)
 	_, q := b.Ended(later, End{Request: f, Start: "c"})
 	is.True(!q)
 	is.Equal(b.Standing(later, f).Ends, 1)
-	is.Equal(len(b.Sweep(later.Add(CaseStays+time.Second))), 0)
+	is.Equal(len(b.Sweep(later.Add(CaseRetention+time.Second))), 0)
 	is.Equal(len(b.Cases()), 0)
 }
 
@@ -89,18 +89,18 @@
 	is.True(q)
 }
 
-func TestBookIsBoundedAndKeepsTheGravest(t *testing.T) {
+func TestBookIsBoundedAndKeepsTheMostSevere(t *testing.T) {
 	is := is.New(t)
 	b := NewBook()
-	grave := name("grave")
+	severe := name("grave")
 	for _, s := range []string{"a", "b", "c"} {
-		b.Ended(start, End{Request: grave, Start: s})
+		b.Ended(start, End{Request: severe, Start: s})
 	}
-	for i := range 3 * mostCases {
+	for i := range 3 * maxCases {
 		b.Ended(start.Add(time.Duration(i)*time.Millisecond), End{Request: name(fmt.Sprint(i)), Start: "a"})
 	}
-	is.True(len(b.Cases()) <= mostCases)
-	is.True(b.Standing(start.Add(time.Minute), grave).Quarantined)
+	is.True(len(b.Cases()) <= maxCases)
+	is.True(b.Standing(start.Add(time.Minute), severe).Quarantined)
 }
 
 func TestRecentRemembersForAWhileAndIsBounded(t *testing.T) {
@@ -108,17 +108,17 @@
 	r, f := NewRecent(start), name("x")
 	is.True(!r.Has(start, f))
 	r.Answered(start, f)
-	is.True(r.Has(start.Add(recentStays), f))
-	is.True(!r.Has(start.Add(3*recentStays), f))
+	is.True(r.Has(start.Add(recentRetention), f))
+	is.True(!r.Has(start.Add(3*recentRetention), f))
 	r.Answered(start.Add(time.Hour), f)
-	for i := range 3 * mostRecent {
+	for i := range 3 * maxRecent {
 		r.Answered(start.Add(time.Hour), name(fmt.Sprint(i)))
 	}
-	is.True(len(r.new)+len(r.old) <= 2*mostRecent)
+	is.True(len(r.newer)+len(r.older) <= 2*maxRecent)
 }
 
-// What the log keeps is what the docket holds, whoever leads: a leader that begins has the
-// quarantines, and a lifted one is lifted.
+// The registry agrees with the docket under every leader: a new leader has the quarantines,
+// and a lifted quarantine stays lifted.
 func TestRegistryFollowsTheDocket(t *testing.T) {
 	is := is.New(t)
 	d, f, g := NewDocket(start, Registry{}), name("x"), name("y")
@@ -136,25 +136,25 @@
 	is.True(r.Has(f) && !r.Has(g))
 	_, due = d.Due(r)
 	is.True(!due)
-	next := NewDocket(start.Add(time.Hour), r) // of another leader, by its own clock
+	next := NewDocket(start.Add(time.Hour), r) // another leader, with its own clock
 	is.True(next.Standing(start.Add(time.Hour), f).Quarantined)
 	is.True(next.Clear(start, f))
-	is.Equal(next.Tell(start), []Told{{Request: f}}) // entries forget what they saw themselves
+	is.Equal(next.Tell(start), []Told{{Request: f}}) // entries discard what they observed themselves
 	n, _ = next.Due(r)
 	r = r.Next(n)
 	is.Equal(len(r.Cases), 0)
 }
 
-func TestAllQuarantinesAreToldAndTheirNumberIsBounded(t *testing.T) {
+func TestAllQuarantinesArePublishedAndTheirNumberIsBounded(t *testing.T) {
 	is := is.New(t)
 	d := NewDocket(start, Registry{})
-	for i := range mostQuarantined + 10 {
+	for i := range maxQuarantined + 10 {
 		for _, s := range []string{"a", "b", "c"} {
 			d.Ended(start.Add(time.Duration(i)*time.Second), End{Request: name(fmt.Sprint(i)), Start: s})
 		}
 		d.Ended(start, End{Request: name("single" + fmt.Sprint(i)), Start: "a"})
 	}
-	is.Equal(len(d.Quarantined()), mostQuarantined)
+	is.Equal(len(d.Quarantined()), maxQuarantined)
 	quarantined, suspect := 0, 0
 	for _, o := range d.Tell(start) {
 		switch {
@@ -164,14 +164,14 @@
 			suspect++
 		}
 	}
-	is.Equal(quarantined, mostQuarantined)
-	is.Equal(suspect, mostTold)
+	is.Equal(quarantined, maxQuarantined)
+	is.Equal(suspect, maxPublished)
 }
 
-// Symptom it prevents: look-ups that are all alike are refused for half an hour.
-// Sequence: all processes were killed; just after they are back, a zone fails and four
-// endpoints end within half a second, each under some of the look-ups.
-// Cause: no entry remembers that others like them were answered.
+// Guards against identical look-ups that are refused for half an hour: all processes were
+// killed, and just after their restart a zone fails and four endpoints end within half a
+// second, each under some of the look-ups. No entry remembers then that others like them were
+// answered.
 func TestEndsThatComeTogetherCountOnceForEntriesThatJustStarted(t *testing.T) {
 	is := is.New(t)
 	b, f := NewBook(), name("look-up")
@@ -180,14 +180,14 @@
 		is.True(!q)
 	}
 	is.Equal(b.Standing(start, f).Ends, 1)
-	news, _ := b.Ended(start.Add(5*time.Second), End{Request: f, Start: "b"}) // told once more, later
-	is.True(!news)
-	// A guilty one goes on: it is stopped all the same, some 1 s later.
+	isNew, _ := b.Ended(start.Add(5*time.Second), End{Request: f, Start: "b"}) // reported again, later
+	is.True(!isNew)
+	// A harmful request continues to end endpoints: it is still quarantined, about 1 s later.
 	_, q := b.Ended(start.Add(600*time.Millisecond), End{Request: f, Start: "e", Cold: true})
 	is.True(!q)
 	_, q = b.Ended(start.Add(1200*time.Millisecond), End{Request: f, Start: "f", Cold: true})
 	is.True(q)
 	r := NewRecent(start)
-	is.True(r.Cold(start.Add(recentStays - 1)))
-	is.True(!r.Cold(start.Add(recentStays)))
+	is.True(r.Cold(start.Add(recentRetention - 1)))
+	is.True(!r.Cold(start.Add(recentRetention)))
 }
--- a/internal/core/poison/recent.go
+++ b/internal/core/poison/recent.go
@@ -3,52 +3,53 @@
 import "time"
 
 const (
-	// recentStays is the least time for which an answer is remembered. Ends that strike many
-	// endpoints together come within some seconds.
-	recentStays = 10 * time.Second
-	// mostRecent bounds each of the two halves of what is remembered, 100 kB: 400 answers a
-	// second at one entry for recentStays.
-	mostRecent = 4096
+	// recentRetention is the minimum time for which an answer is remembered. A failure that ends
+	// many endpoints does so within a few seconds.
+	recentRetention = 10 * time.Second
+	// maxRecent bounds each of the two generations, 100 kB: 400 answers a second at one entry
+	// for recentRetention.
+	maxRecent = 4096
 )
 
-// Recent remembers which requests were answered whole lately: one of many alike may be under
-// the end of an endpoint, and is known by the others to be innocent. It is not safe for
-// concurrent use.
+// Recent remembers which requests were answered completely within the last seconds. If one of
+// many identical requests is under the end of an endpoint, the answers to the others show that
+// it is not the cause. It is not safe for concurrent use.
 type Recent struct {
-	new, old map[Fingerprint]struct{}
-	turned   time.Time
-	begun    time.Time
+	newer, older map[Fingerprint]struct{}
+	rotatedAt    time.Time
+	startedAt    time.Time
 }
 
 // NewRecent returns an empty Recent.
 func NewRecent(now time.Time) *Recent {
-	return &Recent{new: map[Fingerprint]struct{}{}, begun: now}
+	return &Recent{newer: map[Fingerprint]struct{}{}, startedAt: now}
 }
 
-// Cold reports whether it has not remembered for long enough to know what is often answered.
-func (r *Recent) Cold(now time.Time) bool { return now.Sub(r.begun) < recentStays }
+// Cold reports whether r has been in use for less than recentRetention, too short to know which
+// requests are often answered.
+func (r *Recent) Cold(now time.Time) bool { return now.Sub(r.startedAt) < recentRetention }
 
-// Answered notes a whole answer.
+// Answered records a complete answer.
 func (r *Recent) Answered(now time.Time, f Fingerprint) {
-	r.turn(now)
-	r.new[f] = struct{}{}
+	r.rotate(now)
+	r.newer[f] = struct{}{}
 }
 
-// Has reports whether a request was answered whole lately.
+// Has reports whether a request was answered completely within the last seconds.
 func (r *Recent) Has(now time.Time, f Fingerprint) bool {
-	r.turn(now)
-	_, young := r.new[f]
-	_, old := r.old[f]
-	return young || old
+	r.rotate(now)
+	_, inNewer := r.newer[f]
+	_, inOlder := r.older[f]
+	return inNewer || inOlder
 }
 
-// turn drops the older half when the younger one is old or full.
-func (r *Recent) turn(now time.Time) {
-	if now.Sub(r.turned) < recentStays && len(r.new) < mostRecent {
+// rotate drops the older generation when the newer one has reached its age or is full.
+func (r *Recent) rotate(now time.Time) {
+	if now.Sub(r.rotatedAt) < recentRetention && len(r.newer) < maxRecent {
 		return
 	}
-	if now.Sub(r.turned) >= 2*recentStays {
-		r.new = nil // as old as the half that is dropped
+	if now.Sub(r.rotatedAt) >= 2*recentRetention {
+		r.newer = nil // as old as the generation that is dropped
 	}
-	r.old, r.new, r.turned = r.new, map[Fingerprint]struct{}{}, now
+	r.older, r.newer, r.rotatedAt = r.newer, map[Fingerprint]struct{}{}, now
 }
--- a/internal/core/poison/registry.go
+++ b/internal/core/poison/registry.go
@@ -2,44 +2,45 @@
 
 import "slices"
 
-// mostQuarantined bounds a Registry; the oldest quarantine makes way.
-const mostQuarantined = 256
+// maxQuarantined bounds a Registry; when it is full the oldest quarantine is dropped.
+const maxQuarantined = 256
 
-// Registry is what the replicated log keeps: the key of the fingerprints, and the
-// quarantines.
+// Registry is the part of the replicated state that concerns quarantines: the key of the
+// fingerprints, and the quarantined cases.
 type Registry struct {
 	Key   Key    `json:"key,omitempty"`
 	Cases []Case `json:"cases,omitempty"` // oldest first
 }
 
-// Note is one change of a Registry. Where the leader keeps a Docket, it decides and notes
-// what is quarantined. Where entries speak to the group through whichever host they are
-// subscribed to, they note what they see, and the log counts.
+// Note is one change of a Registry. Where the leader keeps a Docket, the leader decides what is
+// quarantined and submits it (Add, Lift). Where entries submit commands through the control
+// host to which they are subscribed, they submit what they observe (Ends, Answered), and the
+// state machine counts.
 type Note struct {
-	Key  Key           `json:"key,omitempty"`  // taken if there is none yet
-	Add  []Case        `json:"add,omitempty"`  // quarantined
-	Lift []Fingerprint `json:"lift,omitempty"` // not quarantined any more
+	Key  Key           `json:"key,omitempty"`  // ignored if a key is set already
+	Add  []Case        `json:"add,omitempty"`  // to be quarantined
+	Lift []Fingerprint `json:"lift,omitempty"` // no longer quarantined
 
-	Ends     []End         `json:"ends,omitempty"`     // seen
-	Answered []Fingerprint `json:"answered,omitempty"` // whole, though ends were seen
+	Ends     []End         `json:"ends,omitempty"`     // observed
+	Answered []Fingerprint `json:"answered,omitempty"` // completely, though ends were observed
 }
 
-// Next returns the registry after a note. The first key stays: fingerprints made with
-// another one would name nothing that is known. Quarantines end by a note alone: the time of
-// day, which hosts do not agree on and which may jump, decides nothing.
+// Next returns the registry after a note. The first key is kept: fingerprints made with
+// another key would match no known request. Quarantines end only by a note, never by the time
+// of day, on which hosts do not agree and which may jump.
 func (r Registry) Next(n Note) Registry {
 	if len(r.Key) == 0 {
 		r.Key = n.Key
 	}
-	gone := slices.Clone(n.Lift)
+	removed := slices.Clone(n.Lift)
 	for _, c := range n.Add {
-		gone = append(gone, c.Request)
+		removed = append(removed, c.Request)
 	}
 	r.Cases = slices.DeleteFunc(slices.Clone(r.Cases), func(c Case) bool {
-		return slices.Contains(gone, c.Request)
+		return slices.Contains(removed, c.Request)
 	})
 	r.Cases = append(r.Cases, n.Add...)
-	r.Cases = r.Cases[max(0, len(r.Cases)-mostQuarantined):]
+	r.Cases = r.Cases[max(0, len(r.Cases)-maxQuarantined):]
 	return r
 }
 
@@ -48,7 +49,7 @@
 	return slices.ContainsFunc(r.Cases, func(c Case) bool { return c.Request == f })
 }
 
-// Equal reports whether nothing differs between two registries.
+// Equal reports whether two registries have the same key, cases and times of quarantine.
 func (r Registry) Equal(o Registry) bool {
 	same := func(a, b Case) bool { return a.Request == b.Request && a.Quarantined.Equal(b.Quarantined) }
 	return slices.Equal(r.Key, o.Key) && slices.EqualFunc(r.Cases, o.Cases, same)
