--- a/internal/core/limit/limit_test.go
+++ b/internal/core/limit/limit_test.go
@@ -8,9 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: endpoints that survive a large loss get a multiple of their load.
-// Sequence: half of all attempts fail; every failure is retried.
-// Cause: retries without a budget.
+// Guards against retries that multiply the load of the remaining endpoints during
+// a large outage: half of all attempts fail, and every failure is retried.
 func TestBudgetBoundsAttemptsUnderHalfLoss(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(1, 2))
@@ -30,10 +29,10 @@
 
 func TestBackoffGrowsAndStaysBounded(t *testing.T) {
 	is := is.New(t)
-	most := func(n int) int { return n - 1 }
-	is.Equal(Backoff(1, time.Second, time.Minute, most), time.Second)
-	is.Equal(Backoff(3, time.Second, time.Minute, most), 4*time.Second)
-	is.Equal(Backoff(30, time.Second, time.Minute, most), time.Minute)
+	largest := func(n int) int { return n - 1 }
+	is.Equal(Backoff(1, time.Second, time.Minute, largest), time.Second)
+	is.Equal(Backoff(3, time.Second, time.Minute, largest), 4*time.Second)
+	is.Equal(Backoff(30, time.Second, time.Minute, largest), time.Minute)
 }
 
 func TestSoldRateIsSharedByTheEntries(t *testing.T) {
--- a/internal/core/limit/pacer.go
+++ b/internal/core/limit/pacer.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// Pacer spaces the calls that one process makes to a service which bounds the
-// calls of all processes together and refuses what comes beyond.
+// Pacer spaces the calls that one process makes to a service which limits the
+// rate of calls of all processes together and refuses those beyond it.
 type Pacer struct {
-	gap  time.Duration // between calls in the usual course
-	back time.Duration // added after refusals
-	next time.Time     // the earliest time of the next call
+	gap     time.Duration // between calls when none is refused
+	backoff time.Duration // added after refusals
+	next    time.Time     // earliest time of the next call
 }
 
 const (
-	// pacerShare is the part of the bound that one process may use: the rest is
-	// for others that read at the same time, as after a change of leader.
+	// pacerShare is the part of the limit that one process may use: the rest is
+	// for others that call at the same time, for example after a leader change.
 	pacerShare = 0.75
-	// leastBack and mostBack bound the pause after refusals, which doubles.
-	leastBack = 100 * time.Millisecond
-	mostBack  = time.Second
+	// minBackoff and maxBackoff bound the pause after refusals, which doubles with
+	// each refusal in a row.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = time.Second
 )
 
-// NewPacer returns a Pacer for a bound in calls a second; 0 bounds nothing.
+// NewPacer returns a Pacer for a limit in calls a second; 0 means no limit.
 func NewPacer(perSecond float64) *Pacer {
 	p := &Pacer{}
 	if perSecond > 0 {
@@ -28,7 +29,7 @@
 	return p
 }
 
-// Take books the next call and returns how long it must wait from now on.
+// Take reserves the next call and returns how long it must wait, counted from now.
 func (p *Pacer) Take(now time.Time) time.Duration {
 	at := now
 	if p.next.After(now) {
@@ -38,65 +39,68 @@
 	return at.Sub(now)
 }
 
-// Refused makes the next call wait longer with every refusal in a row.
+// Refused records a refused call. The next call waits longer with every refusal in
+// a row.
 func (p *Pacer) Refused(now time.Time) {
-	p.back = min(max(2*p.back, leastBack), mostBack)
-	p.next = now.Add(p.back)
+	p.backoff = min(max(2*p.backoff, minBackoff), maxBackoff)
+	p.next = now.Add(p.backoff)
 }
 
-// Granted ends the pauses after refusals.
-func (p *Pacer) Granted() { p.back = 0 }
+// Granted records a successful call and resets the pause after refusals.
+func (p *Pacer) Granted() { p.backoff = 0 }
 
 // ReadPause returns the time between reads for each of several processes that
-// read the same thing, where one read takes so many calls and all processes
-// together may make perSecond. refused are the reads in a row that were refused for
-// coming too often: then more processes read than is known, and the pause doubles.
+// read the same list, where one read takes the given number of calls and all
+// processes together may make perSecond calls a second. refused is the number of
+// reads in a row that were refused by the rate limit: then more processes read than
+// are known, and the pause doubles.
 //
-// Symptom without it: 300 entries lose their leader, read the platform's list of
-// 3,000 endpoints each for itself, 15 calls a read, and are refused; so is the next
-// leader, which then has nothing to tell, and so they go on reading.
+// Without it, 300 entries that lose their leader each read the platform's list of
+// 3,000 endpoints, with 15 calls a read, and are refused. The next leader is refused
+// too, has nothing to publish, and so the entries continue to read.
 func ReadPause(processes, calls int, perSecond float64, refused int) time.Duration {
-	pause := leastReadPause
+	pause := minReadPause
 	if perSecond > 0 {
 		share := float64(max(processes, 1)*max(calls, 1)) / (perSecond * readShare)
 		pause = max(pause, time.Duration(share*float64(time.Second)))
 	}
-	return min(pause<<min(refused, mostDoublings), max(pause, mostReadPause))
+	return min(pause<<min(refused, maxDoublings), max(pause, maxReadPause))
 }
 
 const (
-	// leastReadPause is the pause of few processes: with what the list lags, a
-	// leaving endpoint is noticed within 3 s though the leader is silent.
-	leastReadPause = 800 * time.Millisecond
-	// readShare is the part of the bound that these reads may use together.
+	// minReadPause is the pause if there are few processes: including the delay of
+	// the list, a leaving endpoint is noticed within 3 s even if the leader is silent.
+	minReadPause = 800 * time.Millisecond
+	// readShare is the part of the limit that these reads may use together.
 	readShare = 0.8
-	// mostReadPause bounds the pause after refusals, unless the share is longer: 370
-	// processes then make three calls a second together.
-	mostReadPause = 2 * time.Minute
-	mostDoublings = 8
+	// maxReadPause bounds the pause after refusals, unless the pause that the number
+	// of processes requires is longer: 370 processes then make three calls a second
+	// together.
+	maxReadPause = 2 * time.Minute
+	maxDoublings = 8
 )
 
-// Meter spaces messages by their size, so that large ones to many receivers do not
-// fill a host's link.
+// Meter spaces messages by their size, so that large messages to many receivers do
+// not saturate a host's link.
 type Meter struct {
 	perSecond float64 // bytes
-	free      time.Time
+	freeAt    time.Time
 }
 
-// NewMeter returns a Meter for so many bytes a second.
+// NewMeter returns a Meter for the given bytes a second.
 func NewMeter(perSecond float64) *Meter { return &Meter{perSecond: perSecond} }
 
-// Take books a message and returns how long it must wait; false, and nothing is
-// booked, if that is longer than most.
-func (m *Meter) Take(now time.Time, bytes int, most time.Duration) (time.Duration, bool) {
+// Take reserves the time of a message and returns how long the message must wait. If
+// that is longer than maxWait, it returns false and reserves nothing.
+func (m *Meter) Take(now time.Time, bytes int, maxWait time.Duration) (time.Duration, bool) {
 	at := now
-	if m.free.After(now) {
-		at = m.free
+	if m.freeAt.After(now) {
+		at = m.freeAt
 	}
 	wait := at.Sub(now)
-	if wait > most {
+	if wait > maxWait {
 		return 0, false
 	}
-	m.free = at.Add(time.Duration(float64(bytes) / m.perSecond * float64(time.Second)))
+	m.freeAt = at.Add(time.Duration(float64(bytes) / m.perSecond * float64(time.Second)))
 	return wait, true
 }
--- a/internal/core/limit/shared.go
+++ b/internal/core/limit/shared.go
@@ -1,54 +1,57 @@
 package limit
 
 // Shared is one process's part of a retry budget that all processes of a
-// deployment hold together: in any window a service may get slack extra
-// arrivals plus share of its requests. Processes cannot ask each other before
-// each retry, so each takes its part of the slack by their number and the share
-// of its own requests; the sum then keeps to the whole.
+// deployment share: in any window a service may get slack extra arrivals plus
+// share of its requests. Processes cannot coordinate before each retry, so each
+// uses the slack divided by the number of processes, and the share of its own
+// requests; the sum of the parts then stays within the whole budget.
 type Shared struct {
-	share  float64
-	slack  float64
-	nodes  int
-	tokens float64
+	share     float64
+	slack     float64
+	processes int
+	tokens    float64
 }
 
 const (
-	// sharedMargin keeps the sum below the bound while the number of processes
-	// is out of date by one in five.
+	// sharedMargin keeps the sum below the bound while the known number of
+	// processes is out of date by up to one in five.
 	sharedMargin = 0.8
-	// unknownNodes is assumed until the number of processes is known.
-	unknownNodes = 64
+	// assumedProcesses is the number of processes assumed until it is known.
+	assumedProcesses = 64
 )
 
-// NewShared returns a budget with no knowledge of the other processes.
+// NewShared returns a budget for an unknown number of processes.
 func NewShared(share, slack float64) *Shared {
-	s := &Shared{share: share * sharedMargin, slack: slack * sharedMargin, nodes: unknownNodes}
-	s.tokens = s.most()
+	s := &Shared{share: share * sharedMargin, slack: slack * sharedMargin, processes: assumedProcesses}
+	s.tokens = s.burst()
 	return s
 }
 
-func (s *Shared) most() float64 { return s.slack / float64(s.nodes) }
+func (s *Shared) burst() float64 { return s.slack / float64(s.processes) }
 
-// SetNodes tells how many processes share the budget. More of them than before
-// take tokens away at once; fewer add none in advance, they are earned.
+// SetNodes sets the number of processes that share the budget. If it rises, tokens
+// are removed at once. If it falls, no tokens are added: they accrue with requests.
+// The first number replaces the assumed one; if it is lower, the full burst is set.
 func (s *Shared) SetNodes(n int) {
 	n = max(n, 1)
-	if s.nodes == unknownNodes && n < unknownNodes {
-		s.nodes = n
-		s.tokens = s.most()
+	if s.processes == assumedProcesses && n < assumedProcesses {
+		s.processes = n
+		s.tokens = s.burst()
 		return
 	}
-	s.nodes = n
-	s.tokens = min(s.tokens, s.most())
+	s.processes = n
+	s.tokens = min(s.tokens, s.burst())
 }
 
 // Request counts a first arrival.
-func (s *Shared) Request() { s.tokens = min(s.tokens+s.share, s.most()) }
+func (s *Shared) Request() { s.tokens = min(s.tokens+s.share, s.burst()) }
 
-// Retry takes one extra arrival from the budget; false if it is used up. What is
-// left of less than one allows it with that chance, by a number drawn from 0 to 1,
-// and is then gone: on average no more is used than there was. Gain: more processes
-// than the slack has arrivals, each with a part below one, could never retry.
+// Retry takes one extra arrival from the budget. It returns false if the budget is
+// used up. If less than one token is left, the retry is allowed with that
+// probability, by draw, a random number from 0 to 1, and the rest is removed: on
+// average no more is used than was available. Without this, processes could never
+// retry if they are more than the arrivals in the slack, so that each part is below
+// one.
 func (s *Shared) Retry(draw float64) bool {
 	if s.tokens < 1 {
 		allowed := draw < s.tokens
@@ -59,5 +62,5 @@
 	return true
 }
 
-// Left returns the extra arrivals that are left.
+// Left returns the number of extra arrivals left.
 func (s *Shared) Left() float64 { return s.tokens }
--- a/internal/core/limit/shared_test.go
+++ b/internal/core/limit/shared_test.go
@@ -7,11 +7,10 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: a service gets more repeats than the deployment allows.
-// Sequence: every request fails at every process at once, so each retries all
-// it may.
-// Cause: budgets that are kept for each process alone add up.
-func TestSharedBudgetsKeepToTheWhole(t *testing.T) {
+// Guards against separate budgets whose sum is more retries than the deployment
+// allows: every request fails at every process at once, so each process retries as
+// often as its budget allows.
+func TestSharedBudgetsStayWithinTheTotal(t *testing.T) {
 	const share, slack, nodes = 0.2, 64.0, 9
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(1, 2))
@@ -34,7 +33,7 @@
 	is.True(float64(extra) > share*float64(requests)*0.5) // the budget can be used
 }
 
-func TestMoreProcessesTakeTokensAway(t *testing.T) {
+func TestMoreProcessesRemoveTokens(t *testing.T) {
 	is := is.New(t)
 	s := NewShared(0.2, 64)
 	s.SetNodes(2)
@@ -43,14 +42,13 @@
 	is.True(s.Left() < before)
 	low := s.Left()
 	s.SetNodes(2)
-	is.Equal(s.Left(), low) // nothing in advance
+	is.Equal(s.Left(), low) // no tokens are added in advance
 }
 
-// Symptom: at 300 entries a request whose endpoint failed is never sent again,
-// though the deployment allows 92 repeats at once.
-// Sequence: each entry's part of the budget is a third of a repeat.
-// Cause: a part below one was no repeat.
-func TestManyProcessesRetryWithinTheWhole(t *testing.T) {
+// Guards against a part below one that never allows a retry: at 300 entries the
+// deployment allows 92 retries at once, but each entry's part is a third of a retry,
+// and no request is ever sent again after its endpoint failed.
+func TestManyProcessesRetryWithinTheTotal(t *testing.T) {
 	const share, slack, nodes, rounds = 0.2, 92.0, 300, 40
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(3, 4))
