--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -1,11 +1,11 @@
 // Package admission decides at one endpoint which request runs next, which
 // waits and which is refused.
 //
-// It is where the requests of all entries meet, so fairness between customers
-// is decided here: interactive requests go before batch ones, and within a
-// class customers share by the capacity they bought (start-time fair queueing).
-// The queue is bounded, and a request that cannot start before its deadline is
-// refused at once, with an estimate of when to come back.
+// The requests of all entries arrive here, so fairness between customers is
+// enforced here: interactive requests precede batch requests, and within a class
+// customers share the slots in proportion to the capacity they bought (start-time
+// fair queueing). The queue is bounded, and a request that cannot start before its
+// deadline is refused at once, with an estimate of the time after which to retry.
 package admission
 
 import (
@@ -28,13 +28,13 @@
 	Deadline time.Time // latest start of the first answer
 }
 
-// Verdict tells what becomes of an offered request.
+// Verdict is the outcome of Offer for a request.
 type Verdict string
 
 // The verdicts.
 const (
 	Run    Verdict = "run"    // starts now
-	Wait   Verdict = "wait"   // queued; Next or Expire will name it
+	Wait   Verdict = "wait"   // queued; Next or Expire will return it
 	Refuse Verdict = "refuse" // not run
 )
 
@@ -45,36 +45,36 @@
 	RetryAfter time.Duration
 }
 
-// Reason tells why a request was refused.
+// Reason is why a request was refused.
 type Reason string
 
 // The reasons.
 const (
-	QueueFull    Reason = "queue_full"
-	TooLate      Reason = "deadline_cannot_be_met"
-	DeadlinePast Reason = "deadline_past"
+	QueueFull          Reason = "queue_full"
+	CannotMeetDeadline Reason = "deadline_cannot_be_met"
+	DeadlinePassed     Reason = "deadline_past"
 )
 
 // Config bounds a Queue.
 type Config struct {
-	Slots    int // requests that run at once on the endpoint
-	MaxQueue int // requests that wait
-	Expected time.Duration
+	Slots    int           // requests that run at once on the endpoint
+	MaxQueue int           // requests that wait
+	Expected time.Duration // initial estimate of the service time
 }
 
 // Queue is the admission queue of one endpoint. It is not safe for concurrent
 // use.
 type Queue struct {
-	cfg     Config
-	running map[ident.Attempt]running
-	waiting map[ident.Attempt]*waiter
-	order   order
-	finish  map[ident.Customer]float64 // virtual finish time of a customer's newest request
-	virtual float64
-	service time.Duration // running mean of service times
-	seq     uint64
-
-	in, out uint64 // accounting: in = out + waiting + running
+	cfg           Config
+	running       map[ident.Attempt]running
+	waiting       map[ident.Attempt]*waiter
+	order         order
+	virtualFinish map[ident.Customer]float64 // virtual finish time of each customer's newest request
+	virtualTime   float64
+	meanService   time.Duration // running mean of service times
+	seq           uint64
+
+	accepted, ended uint64 // accounting: accepted = ended + waiting + running
 }
 
 type running struct {
@@ -83,16 +83,16 @@
 }
 
 type waiter struct {
-	req   Request
-	start float64 // virtual start time
-	class int
-	seq   uint64
-	pos   int
+	req          Request
+	virtualStart float64 // virtual start time
+	class        int
+	seq          uint64
+	heapIndex    int
 }
 
 // New returns an empty Queue.
 func New(cfg Config) *Queue {
-	return &Queue{cfg: cfg, running: map[ident.Attempt]running{}, waiting: map[ident.Attempt]*waiter{}, finish: map[ident.Customer]float64{}, service: cfg.Expected}
+	return &Queue{cfg: cfg, running: map[ident.Attempt]running{}, waiting: map[ident.Attempt]*waiter{}, virtualFinish: map[ident.Customer]float64{}, meanService: cfg.Expected}
 }
 
 // Running returns the number of requests that run.
@@ -119,10 +119,10 @@
 // Offer asks for admission.
 func (q *Queue) Offer(now time.Time, r Request) Decision {
 	if !r.Deadline.After(now) {
-		return Decision{Verdict: Refuse, Reason: DeadlinePast}
+		return Decision{Verdict: Refuse, Reason: DeadlinePassed}
 	}
 	if len(q.running) < q.cfg.Slots && len(q.waiting) == 0 {
-		q.in++
+		q.accepted++
 		q.begin(now, r, q.tag(r))
 		return Decision{Verdict: Run}
 	}
@@ -130,31 +130,31 @@
 	if len(q.waiting) >= q.cfg.MaxQueue {
 		return Decision{Verdict: Refuse, Reason: QueueFull, RetryAfter: wait}
 	}
-	// Refusing now lets the caller go elsewhere; waiting for a start that
+	// Refusing now lets the caller try elsewhere; waiting for a start that
 	// comes too late would only use up its time.
 	if now.Add(wait).After(r.Deadline) {
-		return Decision{Verdict: Refuse, Reason: TooLate, RetryAfter: wait}
+		return Decision{Verdict: Refuse, Reason: CannotMeetDeadline, RetryAfter: wait}
 	}
-	q.in++
+	q.accepted++
 	q.enqueue(r)
 	q.check()
 	return Decision{Verdict: Wait}
 }
 
-// tag returns the request's virtual start and moves its customer's virtual
-// finish. A customer that was idle starts at the present virtual time: idleness
+// tag returns the request's virtual start and advances its customer's virtual
+// finish. A customer that was idle starts at the current virtual time: idle time
 // earns no credit.
 func (q *Queue) tag(r Request) float64 {
-	start := max(q.virtual, q.finish[r.Customer])
-	q.finish[r.Customer] = start + 1/max(r.Weight, minWeight)
+	start := max(q.virtualTime, q.virtualFinish[r.Customer])
+	q.virtualFinish[r.Customer] = start + 1/max(r.Weight, minWeight)
 	return start
 }
 
-const minWeight = 0.1 // a customer without capacity sold still gets a share
+const minWeight = 0.1 // customers without sold capacity still get a share
 
 func (q *Queue) enqueue(r Request) {
 	q.seq++
-	w := &waiter{req: r, start: q.tag(r), seq: q.seq}
+	w := &waiter{req: r, virtualStart: q.tag(r), seq: q.seq}
 	if r.Priority == record.Batch {
 		w.class = 1
 	}
@@ -163,22 +163,22 @@
 }
 
 func (q *Queue) begin(now time.Time, r Request, start float64) {
-	q.virtual = max(q.virtual, start)
+	q.virtualTime = max(q.virtualTime, start)
 	q.running[r.Attempt] = running{r, now}
 }
 
-// expectedWait estimates the time until a new request would start: requests
-// that would go before it, at the mean service time over all slots.
+// expectedWait estimates the time until a new request would start: the number of
+// requests before it and itself, times the mean service time, divided by the slots.
 func (q *Queue) expectedWait(r Request) time.Duration {
 	ahead := 1
-	start := max(q.virtual, q.finish[r.Customer])
+	start := max(q.virtualTime, q.virtualFinish[r.Customer])
 	for _, w := range q.waiting {
 		batchAhead := w.class == 1 && r.Priority != record.Batch
-		if !batchAhead && (w.start <= start || w.class < classOf(r)) {
+		if !batchAhead && (w.virtualStart <= start || w.class < classOf(r)) {
 			ahead++
 		}
 	}
-	return time.Duration(float64(q.service) * float64(ahead) / float64(q.cfg.Slots))
+	return time.Duration(float64(q.meanService) * float64(ahead) / float64(q.cfg.Slots))
 }
 
 func classOf(r Request) int {
@@ -194,14 +194,14 @@
 	for len(q.running) < q.cfg.Slots && q.order.Len() > 0 {
 		w := heap.Pop(&q.order).(*waiter)
 		delete(q.waiting, w.req.Attempt)
-		q.begin(now, w.req, w.start)
+		q.begin(now, w.req, w.virtualStart)
 		out = append(out, w.req)
 	}
 	q.check()
 	return out
 }
 
-// Expire removes and returns waiting requests whose deadline has come.
+// Expire removes and returns the waiting requests whose deadline has passed.
 func (q *Queue) Expire(now time.Time) []Request {
 	var out []Request
 	for _, w := range q.waiting {
@@ -215,21 +215,21 @@
 	return out
 }
 
-// Cancel removes a waiting request; false if it does not wait.
+// Cancel removes a waiting request. It returns false if the request is not waiting.
 func (q *Queue) Cancel(a ident.Attempt) bool {
 	w, ok := q.waiting[a]
 	if !ok {
 		return false
 	}
-	heap.Remove(&q.order, w.pos)
+	heap.Remove(&q.order, w.heapIndex)
 	delete(q.waiting, a)
-	q.out++
+	q.ended++
 	q.check()
 	return true
 }
 
 // DropReplica removes and returns the requests that wait for a replica which
-// takes no more work.
+// accepts no more requests.
 func (q *Queue) DropReplica(id ident.Index) []Request {
 	var out []Request
 	for _, w := range q.waiting {
@@ -252,47 +252,48 @@
 		return
 	}
 	delete(q.running, a)
-	q.out++
+	q.ended++
 	took := now.Sub(r.started)
-	q.service += time.Duration(serviceWeight * float64(took-q.service))
+	q.meanService += time.Duration(serviceWeight * float64(took-q.meanService))
 	if len(q.running) == 0 && len(q.waiting) == 0 {
-		// Nobody competes: virtual times start anew and the map of customers
-		// does not grow without bound.
-		clear(q.finish)
-		q.virtual = 0
+		// Nothing competes: virtual times start again at 0, which also keeps the
+		// map of customers from growing without bound.
+		clear(q.virtualFinish)
+		q.virtualTime = 0
 	}
 	q.check()
 }
 
-// check asserts that no request is lost between the queue and its end.
+// check panics if a request was lost between Offer and its end, or if more requests
+// run than there are slots.
 func (q *Queue) check() {
-	if q.in != q.out+uint64(len(q.waiting)+len(q.running)) || len(q.waiting) != q.order.Len() {
-		panic(fmt.Sprintf("invariant: admission: in %d, out %d, waiting %d (%d), running %d", q.in, q.out, len(q.waiting), q.order.Len(), len(q.running)))
+	if q.accepted != q.ended+uint64(len(q.waiting)+len(q.running)) || len(q.waiting) != q.order.Len() {
+		panic(fmt.Sprintf("invariant: admission: in %d, out %d, waiting %d (%d), running %d", q.accepted, q.ended, len(q.waiting), q.order.Len(), len(q.running)))
 	}
 	if len(q.running) > q.cfg.Slots {
 		panic(fmt.Sprintf("invariant: admission: %d run in %d slots", len(q.running), q.cfg.Slots))
 	}
 }
 
-// order is a heap of waiting requests: class, virtual start, arrival.
+// order is a heap of waiting requests, by class, virtual start and arrival.
 type order []*waiter
 
 func (o order) Len() int { return len(o) }
 
 func (o order) Less(i, j int) bool {
 	a, b := o[i], o[j]
-	return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.start, b.start), cmp.Compare(a.seq, b.seq)) < 0
+	return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.virtualStart, b.virtualStart), cmp.Compare(a.seq, b.seq)) < 0
 }
 
 func (o order) Swap(i, j int) {
 	o[i], o[j] = o[j], o[i]
-	o[i].pos, o[j].pos = i, j
+	o[i].heapIndex, o[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
 func (o *order) Push(x any) {
 	w := x.(*waiter)
-	w.pos = len(*o)
+	w.heapIndex = len(*o)
 	*o = append(*o, w)
 }
 
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -18,8 +18,8 @@
 	return Request{Attempt: ident.Attempt{Request: ident.RequestID(fmt.Sprint(n))}, Customer: ident.Customer(c), Weight: weight, Priority: p, Deadline: start.Add(time.Hour)}
 }
 
-// served counts who runs among the first n starts when every customer keeps
-// its part of the queue full.
+// served returns the number of requests of each customer among the first n that
+// start while requests of all customers are waiting.
 func served(q *Queue, n int) map[ident.Customer]int {
 	out := map[ident.Customer]int{}
 	var running []Request
@@ -54,7 +54,7 @@
 	is.True(got["three"] >= 58 && got["three"] <= 62) // three quarters
 }
 
-func TestAFloodOfOneCustomerDoesNotDelayAnother(t *testing.T) {
+func TestBurstOfOneCustomerDoesNotDelayAnother(t *testing.T) {
 	is := is.New(t)
 	q := New(Config{Slots: 1, MaxQueue: 1000, Expected: time.Millisecond})
 	for n := range 300 {
@@ -65,7 +65,7 @@
 	is.Equal(got["calm"], 1)
 }
 
-func TestBatchYieldsToPeopleWhoWait(t *testing.T) {
+func TestInteractiveRequestsPrecedeBatch(t *testing.T) {
 	is := is.New(t)
 	q := New(Config{Slots: 1, MaxQueue: 1000, Expected: time.Millisecond})
 	for n := range 50 {
@@ -77,22 +77,22 @@
 	is.Equal(served(q, 10)["clerk"], 10)
 }
 
-func TestWhatCannotStartInTimeIsRefusedAtOnce(t *testing.T) {
+func TestRequestThatCannotStartInTimeIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	q := New(Config{Slots: 1, MaxQueue: 2, Expected: 10 * time.Second})
 	is.Equal(q.Offer(start, request(1, "a", 1, record.Interactive)).Verdict, Run)
-	hurry := request(2, "a", 1, record.Interactive)
-	hurry.Deadline = start.Add(time.Second)
-	d := q.Offer(start, hurry)
+	urgent := request(2, "a", 1, record.Interactive)
+	urgent.Deadline = start.Add(time.Second)
+	d := q.Offer(start, urgent)
 	is.Equal(d.Verdict, Refuse)
-	is.Equal(d.Reason, TooLate)
+	is.Equal(d.Reason, CannotMeetDeadline)
 	is.True(d.RetryAfter >= 10*time.Second)
 	is.Equal(q.Offer(start, request(3, "a", 1, record.Interactive)).Verdict, Wait)
 	is.Equal(q.Offer(start, request(4, "a", 1, record.Interactive)).Verdict, Wait)
 	is.Equal(q.Offer(start, request(5, "a", 1, record.Interactive)).Reason, QueueFull)
 }
 
-// The queue asserts its own accounts after every step.
+// The queue checks its own accounting after every step.
 func TestRandomStepsLoseNoRequest(t *testing.T) {
 	for seed := range 200 {
 		r := rand.New(rand.NewPCG(uint64(seed), 3))
