--- a/internal/core/deploy/deploy.go
+++ b/internal/core/deploy/deploy.go
@@ -1,6 +1,6 @@
-// Package deploy holds a deployment: the routes, services and models that one
-// configuration puts in force for endpoints that are reached directly, without
-// an agent beside them. It is pure data with checks and look-ups.
+// Package deploy represents a deployment: the routes, services and models that one
+// configuration defines for endpoints that are reached directly, without an agent
+// on their host. It consists of data with checks and look-ups.
 package deploy
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/cassiapass/cassiapass/internal/core/customer"
 )
 
-// Repeat tells what may be done with a request whose fate is unknown.
+// Repeat tells whether a request whose outcome is unknown may be sent again.
 type Repeat uint8
 
 // The kinds of routes.
@@ -26,28 +26,28 @@
 	Routes   []Route
 	Services map[string]*Service
 	Limits   Limits
-	// Customers are those whose callers may ask; nil if callers need no key.
+	// Customers are those whose callers may send requests; nil if callers need no key.
 	Customers *customer.Book
 }
 
-// Route leads requests of a host and path prefix to services.
+// Route maps requests of a host and path prefix to services.
 type Route struct {
 	Name      string
 	Host      string
 	Prefix    string // begins and ends with a slash
 	Repeat    Repeat
-	Timeout   time.Duration // longest time a caller is kept waiting
-	Objective time.Duration // answers within it earn full credit
+	Timeout   time.Duration // maximum time for which a caller waits
+	Objective time.Duration // answers within it count fully
 	MaxGap    time.Duration // longest pause between events of a stream that is on time
-	Patience  time.Duration // callers leave a stream that is silent for so long, its start included; 0 if they do not
+	Patience  time.Duration // callers abandon a stream without events for this long, also before the first; 0 if they do not
 	Priority  int           // 0 is the most urgent
-	Attempts  int           // endpoints that one request may be run on
-	Resumable bool          // a broken stream may go on at another endpoint
+	Attempts  int           // maximum number of endpoints on which one request is run
+	Resumable bool          // an interrupted stream may be continued at another endpoint
 	Anonymous bool          // callers need no key
 	Backends  []Backend
 }
 
-// MayRepeat reports whether a request whose fate is unknown may be sent again.
+// MayRepeat reports whether a request whose outcome is unknown may be sent again.
 func (r *Route) MayRepeat() bool {
 	return r.Repeat == Safe || (r.Repeat == Stream && r.Resumable)
 }
@@ -68,11 +68,11 @@
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	Slots         int     // requests that an endpoint runs at once
-	KVTokens      int     // tokens that fit its memory for running requests
+	Slots         int     // requests that an endpoint runs concurrently
+	KVTokens      int     // tokens that fit in its memory for running requests
 	Weights       int64   // megabytes for weights and adapters together
-	AdapterPlaces int     // adapters that an endpoint holds at once
-	EventTokens   int     // tokens that one event of a stream holds; 0 if not told
+	AdapterPlaces int     // adapters that an endpoint holds at the same time
+	EventTokens   int     // tokens in one event of a stream; 0 if not stated
 	StoreLoads    float64 // loads a second from the weight store, over all endpoints
 	Models        map[string]*Model
 }
@@ -88,7 +88,8 @@
 	FromMemory  time.Duration
 }
 
-// Limits bound what a caller may send and how long it may take or stay idle.
+// Limits bound the size of a request and the time in which a caller must send it, and
+// how long a connection may stay idle.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -96,19 +97,19 @@
 	IdleTimeout   time.Duration
 }
 
-// Check returns why a configuration is invalid, or nil.
+// Check returns an error that says why a configuration is invalid, or nil.
 func (c *Config) Check() error {
-	places := make(map[[2]string]string, len(c.Routes))
+	names := make(map[[2]string]string, len(c.Routes))
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		if err := c.checkRoute(r); err != nil {
 			return err
 		}
-		place := [2]string{r.Host, r.Prefix}
-		if other, taken := places[place]; taken {
+		key := [2]string{r.Host, r.Prefix}
+		if other, taken := names[key]; taken {
 			return fmt.Errorf("routes %q and %q share host %q and prefix %q", other, r.Name, r.Host, r.Prefix)
 		}
-		places[place] = r.Name
+		names[key] = r.Name
 	}
 	return nil
 }
--- a/internal/core/deploy/deploy_test.go
+++ b/internal/core/deploy/deploy_test.go
@@ -20,10 +20,10 @@
 	}
 }
 
-func TestCheckNamesWhatIsWrong(t *testing.T) {
+func TestCheckNamesTheError(t *testing.T) {
 	cases := map[string]struct {
-		spoil func(*Config)
-		want  string
+		invalidate func(*Config)
+		want       string
 	}{
 		"unknown service": {func(c *Config) { c.Routes[0].Backends[0].Service = "z" }, `service "z" is not defined`},
 		"same place":      {func(c *Config) { c.Routes[1].Prefix = "/p/q/" }, "share host"},
@@ -38,10 +38,10 @@
 			is := is.New(t)
 			c := valid()
 			is.NoErr(c.Check())
-			tc.spoil(c)
+			tc.invalidate(c)
 			err := c.Check()
 			is.True(err != nil)
-			is.True(strings.Contains(err.Error(), tc.want)) // the message names the mistake
+			is.True(strings.Contains(err.Error(), tc.want)) // the message names the error
 		})
 	}
 }
@@ -56,14 +56,14 @@
 	is.True(tb.Find("y.example", "/p/q/1") == nil)
 }
 
-func TestWeightsShareRequestsAndRepeatsStay(t *testing.T) {
+func TestWeightsSplitRequestsAndRetriesKeepTheirService(t *testing.T) {
 	is := is.New(t)
 	r := &valid().Routes[1]
 	counts := map[string]int{}
 	for i := range 10000 {
 		id := strconv.Itoa(i)
 		counts[r.Pick(id)]++
-		is.Equal(r.Pick(id), r.Pick(id)) // a repeat must not change sides
+		is.Equal(r.Pick(id), r.Pick(id)) // a retry must reach the same service
 	}
 	is.True(counts["b"] > 800 && counts["b"] < 1200) // 10 in 100
 }
--- a/internal/core/deploy/table.go
+++ b/internal/core/deploy/table.go
@@ -13,7 +13,7 @@
 	byHost map[string][]*Route // longest prefix first
 }
 
-// NewTable returns the look-up table of a checked configuration.
+// NewTable returns the look-up table of a configuration that passed Check.
 func NewTable(c *Config) *Table {
 	t := &Table{cfg: c, byHost: map[string][]*Route{}}
 	for i := range c.Routes {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// withoutPort cuts a port off a host; one in brackets is an IP version 6 number.
+// withoutPort removes the port from a host; a host in brackets is an IPv6 address.
 func withoutPort(host string) string {
 	i := strings.LastIndexByte(host, ':')
 	if i < 0 || strings.HasSuffix(host, "]") || strings.IndexByte(host, ':') != i && !strings.Contains(host, "]") {
@@ -50,8 +50,8 @@
 	return host[:i]
 }
 
-// Pick returns the service for a request of route r, by weight. The same
-// request id always gets the same service, so a retry cannot change sides.
+// Pick returns the service for a request of route r, by weight. The same request id
+// always gets the same service, so a retry cannot reach another one.
 func (r *Route) Pick(requestID string) string {
 	if len(r.Backends) == 1 {
 		return r.Backends[0].Service
