--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -1,11 +1,11 @@
 // Package routing chooses the endpoint for one attempt of a request.
 //
-// Two endpoints are drawn at random and the less loaded one is taken, from the
-// entry's own availability zone first. Load is what agents attached to their
-// latest answers plus what this entry has sent since; it fades with age and is
-// never taken for truth. A prompt prefix seen before is a hint that breaks
-// near-ties. Endpoints that fail are left out for a growing while, but never so
-// many that the rest would be overrun.
+// Two endpoints are drawn at random and the less loaded one is chosen, from the
+// entry's own availability zone first. Load is the greater of what the agent reported
+// with its latest answer, which decays with its age and is only an estimate, and of
+// this entry's requests in flight. A prompt prefix seen before is a hint that decides
+// between endpoints of similar load. Endpoints that fail are ejected for a growing
+// time, but never so many that the rest would be overloaded.
 package routing
 
 import (
@@ -37,45 +37,45 @@
 
 // Config tunes a Table.
 type Config struct {
-	Zone       ident.Zone
-	Fade       time.Duration // age at which a reported load counts half
-	EjectAfter int           // failures in a row that put an endpoint out
-	EjectFirst time.Duration // first time out; doubles with each further failure
-	EjectMax   time.Duration
-	Floor      float64       // least share of candidates that stay in
-	SlowStart  time.Duration // a new replica gets its full share after this long
-	Rand       func(n int) int
+	Zone         ident.Zone
+	LoadHalfLife time.Duration // age at which a reported load counts half
+	EjectAfter   int           // failures in a row after which an endpoint is ejected
+	EjectFirst   time.Duration // duration of the first ejection; doubles with each further failure
+	EjectMax     time.Duration
+	MinEligible  float64       // minimum share of candidates that stay eligible
+	SlowStart    time.Duration // a new replica gets its full share after this long
+	Rand         func(n int) int
 }
 
-// DefaultConfig returns the tuning for an entry in the given availability zone.
+// DefaultConfig returns the default Config for an entry in the given availability zone.
 func DefaultConfig(zone ident.Zone, rand func(int) int) Config {
-	return Config{Zone: zone, Fade: time.Second, EjectAfter: 2, EjectFirst: time.Second, EjectMax: 30 * time.Second, Floor: 0.5, SlowStart: 2 * time.Second, Rand: rand}
+	return Config{Zone: zone, LoadHalfLife: time.Second, EjectAfter: 2, EjectFirst: time.Second, EjectMax: 30 * time.Second, MinEligible: 0.5, SlowStart: 2 * time.Second, Rand: rand}
 }
 
-// Table remembers what this entry knows of endpoints. It is not safe for
+// Table holds the state of endpoints as observed by this entry. It is not safe for
 // concurrent use.
 type Table struct {
 	cfg   Config
-	hosts map[ident.HostID]*standing
+	hosts map[ident.HostID]*endpointState
 }
 
-// standing is one endpoint as seen by this entry.
-type standing struct {
-	load     Load
-	at       time.Time
-	inflight int
-	failures int
-	outUntil time.Time
-	leaving  bool
+// endpointState is the state of one endpoint as observed by this entry.
+type endpointState struct {
+	load         Load
+	reportedAt   time.Time
+	inflight     int
+	failures     int
+	ejectedUntil time.Time
+	leaving      bool
 }
 
 // New returns an empty Table.
-func New(cfg Config) *Table { return &Table{cfg: cfg, hosts: map[ident.HostID]*standing{}} }
+func New(cfg Config) *Table { return &Table{cfg: cfg, hosts: map[ident.HostID]*endpointState{}} }
 
-func (t *Table) host(h ident.HostID) *standing {
+func (t *Table) host(h ident.HostID) *endpointState {
 	s := t.hosts[h]
 	if s == nil {
-		s = &standing{}
+		s = &endpointState{}
 		t.hosts[h] = s
 	}
 	return s
@@ -90,94 +90,96 @@
 	s.inflight = max(0, s.inflight-1)
 }
 
-// Report takes in the load that an agent attached to an answer.
+// Report records the load that an agent attached to an answer.
 func (t *Table) Report(now time.Time, h ident.HostID, l Load) {
 	s := t.host(h)
-	s.load, s.at = l, now
+	s.load, s.reportedAt = l, now
 	s.leaving = l.Leaving
 }
 
-// Succeeded clears the failures of h.
+// Succeeded resets the failures of h and ends its ejection.
 func (t *Table) Succeeded(h ident.HostID) {
 	s := t.host(h)
-	s.failures, s.outUntil = 0, time.Time{}
+	s.failures, s.ejectedUntil = 0, time.Time{}
 }
 
-// Failed counts a failure of h to answer at all. Refusals are not failures.
+// Failed counts an attempt that h did not answer at all. Refusals are not failures.
 func (t *Table) Failed(now time.Time, h ident.HostID) {
 	s := t.host(h)
 	s.failures++
 	if s.failures < t.cfg.EjectAfter {
 		return
 	}
-	out := t.cfg.EjectFirst << min(s.failures-t.cfg.EjectAfter, 10)
-	s.outUntil = now.Add(min(out, t.cfg.EjectMax))
+	ejection := t.cfg.EjectFirst << min(s.failures-t.cfg.EjectAfter, 10)
+	s.ejectedUntil = now.Add(min(ejection, t.cfg.EjectMax))
 }
 
-// Renewed forgets what was known of an endpoint whose process was replaced.
+// Renewed discards the state of an endpoint whose process was replaced, except for the
+// attempts in flight.
 func (t *Table) Renewed(h ident.HostID) {
 	if s, ok := t.hosts[h]; ok {
-		t.hosts[h] = &standing{inflight: s.inflight}
+		t.hosts[h] = &endpointState{inflight: s.inflight}
 	}
 }
 
-// Forget drops an endpoint that is gone.
+// Forget removes an endpoint.
 func (t *Table) Forget(h ident.HostID) { delete(t.hosts, h) }
 
-// Out reports whether h is left out after failures.
-func (t *Table) Out(now time.Time, h ident.HostID) bool {
+// Ejected reports whether h is ejected after failures.
+func (t *Table) Ejected(now time.Time, h ident.HostID) bool {
 	s, ok := t.hosts[h]
-	return ok && s.outUntil.After(now)
+	return ok && s.ejectedUntil.After(now)
 }
 
-// Pick chooses among the candidates. Those in tried come only when nothing
-// else is left. It returns false when there is no candidate.
+// Pick chooses among the candidates. Hosts in tried are chosen only if there are no
+// others. It returns false if there is no candidate.
 func (t *Table) Pick(now time.Time, all []Candidate, prefix uint64, tried []ident.HostID) (Candidate, bool) {
-	live := t.live(now, all, tried)
-	if len(live) == 0 {
+	eligible := t.eligible(now, all, tried)
+	if len(eligible) == 0 {
 		return Candidate{}, false
 	}
-	near := slices.DeleteFunc(slices.Clone(live), func(c Candidate) bool { return c.Zone != t.cfg.Zone })
+	near := slices.DeleteFunc(slices.Clone(eligible), func(c Candidate) bool { return c.Zone != t.cfg.Zone })
 	if len(near) > 0 {
 		c := t.choose(now, near, prefix)
-		// A full zone spills over: an answer from the next one is earlier
-		// than a place at the end of a queue.
+		// If the zone is full, other zones are used too: an answer from there arrives
+		// earlier than one from the end of a local queue.
 		if t.pressure(now, c) < 1 {
 			return c, true
 		}
 	}
-	return t.choose(now, live, prefix), true
+	return t.choose(now, eligible, prefix), true
 }
 
-// live leaves out endpoints that are leaving or out, down to the floor.
-func (t *Table) live(now time.Time, all []Candidate, tried []ident.HostID) []Candidate {
-	var in, fallback []Candidate
+// eligible returns the candidates without leaving, ejected and tried endpoints. Ejected ones
+// are added again until MinEligible is reached, tried ones only if there are no others.
+func (t *Table) eligible(now time.Time, all []Candidate, tried []ident.HostID) []Candidate {
+	var kept, fallback []Candidate
 	for _, c := range all {
 		s := t.hosts[c.Host]
 		switch {
 		case s != nil && s.leaving:
-		case slices.Contains(tried, c.Host) || (s != nil && s.outUntil.After(now)):
+		case slices.Contains(tried, c.Host) || (s != nil && s.ejectedUntil.After(now)):
 			fallback = append(fallback, c)
 		default:
-			in = append(in, c)
+			kept = append(kept, c)
 		}
 	}
-	// When most endpoints look bad, the fault may be on this side; sending
-	// everything to the few that are left would only break those too.
-	need := int(t.cfg.Floor*float64(len(in)+len(fallback)) + 0.999)
+	// If most endpoints seem to fail, the fault may be on this side; sending all
+	// requests to the few that are left would only overload those too.
+	minEligible := int(t.cfg.MinEligible*float64(len(kept)+len(fallback)) + 0.999)
 	for _, c := range fallback {
-		if len(in) >= need && len(in) > 0 {
+		if len(kept) >= minEligible && len(kept) > 0 {
 			break
 		}
-		if !slices.Contains(tried, c.Host) || len(in) == 0 {
-			in = append(in, c)
+		if !slices.Contains(tried, c.Host) || len(kept) == 0 {
+			kept = append(kept, c)
 		}
 	}
-	return in
+	return kept
 }
 
-// choose takes the better of two drawn at random, and the endpoint that the
-// prefix points to if it is not clearly busier.
+// choose returns the endpoint that the prefix hashes to unless it is clearly busier than
+// the less loaded of two endpoints drawn at random, which it returns otherwise.
 func (t *Table) choose(now time.Time, cs []Candidate, prefix uint64) Candidate {
 	a := cs[t.cfg.Rand(len(cs))]
 	if b := cs[t.cfg.Rand(len(cs))]; t.pressure(now, b) < t.pressure(now, a) {
@@ -193,24 +195,24 @@
 	return a
 }
 
-const affinitySlack = 0.25 // pressure that a probable prefix cache hit is worth
+const affinitySlack = 0.25 // additional pressure accepted for a probable prefix cache hit
 
-// owner returns the candidate that rendezvous hashing gives a prefix.
+// owner returns the candidate to which rendezvous hashing assigns a prefix.
 func owner(cs []Candidate, prefix uint64) Candidate {
-	best, top := cs[0], uint64(0)
+	best, bestHash := cs[0], uint64(0)
 	for _, c := range cs {
 		h := xxhash.Sum64String(string(c.Host)) ^ (prefix * 0x9E3779B97F4A7C15)
 		h ^= h >> 29
 		h *= 0xBF58476D1CE4E5B9
 		h ^= h >> 32
-		if h > top {
-			best, top = c, h
+		if h > bestHash {
+			best, bestHash = c, h
 		}
 	}
 	return best
 }
 
-// pressure estimates load per slot. One means full.
+// pressure estimates the load per slot; 1 means full.
 func (t *Table) pressure(now time.Time, c Candidate) float64 {
 	slots := float64(max(c.Slots, 1))
 	s := t.hosts[c.Host]
@@ -218,8 +220,8 @@
 		return t.ramp(now, c)
 	}
 	reported := float64(s.load.Running + s.load.Waiting)
-	age := now.Sub(s.at)
-	reported *= float64(t.cfg.Fade) / float64(t.cfg.Fade+max(age, 0))
+	age := now.Sub(s.reportedAt)
+	reported *= float64(t.cfg.LoadHalfLife) / float64(t.cfg.LoadHalfLife+max(age, 0))
 	load := max(reported, float64(s.inflight))
 	if s.load.Slots > 0 {
 		slots = float64(s.load.Slots)
@@ -227,8 +229,8 @@
 	return load/slots + t.ramp(now, c)
 }
 
-// ramp makes a new replica look loaded until it has warmed up: every entry
-// learns of it at the same moment and would otherwise send its whole queue.
+// ramp adds pressure to a new replica until it has warmed up: every entry learns of it at
+// the same time and would otherwise send its whole queue there.
 func (t *Table) ramp(now time.Time, c Candidate) float64 {
 	age := now.Sub(c.Since)
 	if c.Since.IsZero() || age >= t.cfg.SlowStart {
@@ -237,8 +239,8 @@
 	return 0.5 * (1 - float64(max(age, 0))/float64(t.cfg.SlowStart))
 }
 
-// PrefixHash returns the affinity hint of a prompt: a hash of its first part,
-// where system prompts and templates stand. Zero means no hint.
+// PrefixHash returns the affinity hint of a prompt: a hash of its first maxPrefix bytes,
+// which hold system prompts and templates. Zero means no hint.
 func PrefixHash(customer ident.Customer, target ident.Target, prompt string) uint64 {
 	if len(prompt) < minPrefix {
 		return 0
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -36,14 +36,14 @@
 	return out
 }
 
-func TestNearAvailabilityZoneFirstUntilItIsFull(t *testing.T) {
+func TestOwnAvailabilityZoneFirstUntilItIsFull(t *testing.T) {
 	is := is.New(t)
 	tab := table()
 	cs := append(candidates(2, "near"), candidates(2, "far")...)
 	got := count(tab, cs, 0, 15)
 	is.Equal(got["near0"]+got["near1"], 15)
 	got = count(tab, cs, 0, 20)
-	is.True(got["far0"]+got["far1"] > 5) // spills over
+	is.True(got["far0"]+got["far1"] > 5) // other zones are used too
 }
 
 func TestLoadIsSpread(t *testing.T) {
@@ -54,20 +54,19 @@
 	}
 }
 
-func TestPrefixIsAHintOnly(t *testing.T) {
+func TestPrefixIsOnlyAHint(t *testing.T) {
 	is := is.New(t)
 	tab := table()
 	cs := candidates(8, "near")
 	got := count(tab, cs, 12345, 3)
-	is.Equal(len(got), 1) // the same endpoint while it is not busier
+	is.Equal(len(got), 1) // the same endpoint as long as it is not clearly busier
 	got = count(tab, cs, 12345, 60)
 	is.True(len(got) > 4)
 }
 
-// Symptom: after a few errors all traffic goes to one endpoint, which falls too.
-// Sequence: most endpoints fail to answer for a moment.
-// Cause: leaving out every endpoint that failed leaves too few.
-func TestEjectionKeepsAFloor(t *testing.T) {
+// Guards against the ejection of every endpoint that failed: when most endpoints do not
+// answer for a short time, all traffic would go to the one that is left and overload it.
+func TestEjectionKeepsAMinimumEligible(t *testing.T) {
 	is := is.New(t)
 	tab := table()
 	cs := candidates(8, "near")
@@ -76,9 +75,9 @@
 			tab.Failed(start, c.Host)
 		}
 	}
-	is.True(tab.Out(start, cs[0].Host))
+	is.True(tab.Ejected(start, cs[0].Host))
 	is.True(len(count(tab, cs, 0, 100)) >= 4)
-	is.Equal(tab.Out(start.Add(time.Minute), cs[0].Host), false)
+	is.Equal(tab.Ejected(start.Add(time.Minute), cs[0].Host), false)
 }
 
 func TestLeavingEndpointsGetNothing(t *testing.T) {
@@ -91,7 +90,7 @@
 	is.True(!ok)
 }
 
-func TestTriedEndpointsComeLast(t *testing.T) {
+func TestTriedEndpointsAreChosenLast(t *testing.T) {
 	is := is.New(t)
 	cs := candidates(2, "near")
 	for range 20 {
