--- a/internal/core/keepalive/keepalive.go
+++ b/internal/core/keepalive/keepalive.go
@@ -2,9 +2,9 @@
 // history of idle times of its target.
 //
 // The statistics are histograms of idle times, as published for serverless
-// platforms (Shahrad et al., 2020). A prior with a heavy tail stands for a
-// target without history and fades as observations arrive. One weight between
-// 0 and 1 trades tail cold-start time (1) against idle accelerator time (0).
+// platforms (Shahrad et al., 2020). A heavy-tailed prior is used for a target without
+// history; its influence falls as observations arrive. One weight between 0 and 1
+// trades tail cold-start time (1) against idle accelerator time (0).
 package keepalive
 
 import (
@@ -19,16 +19,16 @@
 const (
 	buckets     = 18          // idle times from 1 s, doubling, to about 36 hours
 	firstBucket = time.Second // upper edge of bucket 0
-	priorWeight = 2.0         // observations that the prior stands for
-	partners    = 8           // targets remembered as waking together with one
-	halving     = 4096        // wakes after which old observations count half
+	priorWeight = 2.0         // number of observations to which the prior is equivalent
+	maxPartners = 8           // maximum number of partners recorded for a target
+	halveAfter  = 4096        // wakes after which all earlier observations are halved
 )
 
 // Sample is one observed use of a target after a pause.
 type Sample struct {
 	Target ident.Target   `json:"target"`
 	Idle   time.Duration  `json:"idle"`           // time since its last use; 0 if unknown
-	Woke   bool           `json:"woke,omitempty"` // the pause was long
+	Woke   bool           `json:"woke,omitempty"` // whether the pause was long
 	With   []ident.Target `json:"with,omitempty"` // targets that woke shortly before
 }
 
@@ -59,18 +59,18 @@
 // Clone returns a copy that later samples do not change.
 func (h *History) Clone() *History { return &History{stats: maps.Clone(h.stats)} }
 
-// Add takes in samples.
+// Add records samples.
 func (h *History) Add(samples []Sample) {
 	for _, s := range samples {
 		st := h.stats[s.Target]
 		st.add(s)
 		h.stats[s.Target] = st
-		// The earlier ones learn of this wake too, so that whichever wakes
-		// first can bring in the others.
+		// The wake is recorded for the earlier targets too, so that the first target
+		// of a group that wakes can have the others prefetched.
 		for _, t := range s.With {
 			other := h.stats[t]
 			other.With = slices.Clone(other.With)
-			other.meet(s.Target)
+			other.countPartner(s.Target)
 			h.stats[t] = other
 		}
 	}
@@ -85,35 +85,35 @@
 	}
 	st.With = slices.Clone(st.With)
 	for _, t := range s.With {
-		st.meet(t)
+		st.countPartner(t)
 	}
-	if st.Wakes >= halving {
-		st.fade()
+	if st.Wakes >= halveAfter {
+		st.halve()
 	}
 }
 
-// meet counts one wake together with t. When the list is full the rarest
-// partner is replaced and its count inherited, so that a newcomer that keeps
-// coming is never starved (the space-saving sketch).
-func (st *Stats) meet(t ident.Target) {
-	least := -1
+// countPartner counts one wake together with t. If the list is full, t replaces the partner with
+// the lowest count and inherits that count, so that a new partner that wakes often is
+// not displaced forever (the Space-Saving algorithm).
+func (st *Stats) countPartner(t ident.Target) {
+	rarest := -1
 	for i := range st.With {
 		if st.With[i].Target == t {
 			st.With[i].Count++
 			return
 		}
-		if least < 0 || st.With[i].Count < st.With[least].Count {
-			least = i
+		if rarest < 0 || st.With[i].Count < st.With[rarest].Count {
+			rarest = i
 		}
 	}
-	if len(st.With) < partners {
+	if len(st.With) < maxPartners {
 		st.With = append(st.With, Partner{Target: t, Count: 1})
 		return
 	}
-	st.With[least] = Partner{Target: t, Count: st.With[least].Count + 1}
+	st.With[rarest] = Partner{Target: t, Count: st.With[rarest].Count + 1}
 }
 
-func (st *Stats) fade() {
+func (st *Stats) halve() {
 	st.Wakes /= 2
 	for i := range st.Gaps {
 		st.Gaps[i] /= 2
@@ -135,8 +135,8 @@
 // edge returns the upper edge of a bucket.
 func edge(b int) time.Duration { return firstBucket << b }
 
-// total returns the number of observations, the prior's included. The prior
-// is uniform over the buckets, that is, over the logarithm of the idle time.
+// total returns the number of observations including the prior. The prior is uniform
+// over the buckets, that is, over the logarithm of the idle time.
 func (st *Stats) total() float64 {
 	sum := priorWeight
 	for _, g := range st.Gaps {
@@ -145,8 +145,8 @@
 	return sum
 }
 
-// Survive returns the probability that an idle time exceeds d.
-func (st *Stats) Survive(d time.Duration) float64 {
+// Survival returns the probability that an idle time exceeds d.
+func (st *Stats) Survival(d time.Duration) float64 {
 	total := st.total()
 	p := 0.0
 	for b := buckets - 1; b >= 0; b-- {
@@ -167,36 +167,36 @@
 	return p
 }
 
-// UseWithin returns the probability that a target that has been idle for idle
-// is used within the next horizon.
+// UseWithin returns the probability that a target that has been idle for the duration
+// idle is used within the next horizon.
 func (st *Stats) UseWithin(idle, horizon time.Duration) float64 {
-	now := st.Survive(idle)
+	now := st.Survival(idle)
 	if now <= 0 {
 		return 0
 	}
-	return (now - st.Survive(idle+horizon)) / now
+	return (now - st.Survival(idle+horizon)) / now
 }
 
 // Tuning bounds a Policy.
 type Tuning struct {
 	Min, Max  time.Duration
-	ColdValue float64 // seconds of idle accelerator time that one second of cold start is worth at weight 0.5
+	ColdValue float64 // seconds of idle accelerator time that cost as much as one second of cold start at weight 0.5
 }
 
-// DefaultTuning is the tuning measured best in docs/DESIGN.md.
+// DefaultTuning returns the tuning with the best results in docs/DESIGN.md.
 func DefaultTuning() Tuning {
 	return Tuning{Min: 5 * time.Second, Max: 2 * time.Hour, ColdValue: 40}
 }
 
-// KeepFor returns how long a replica may stay idle: the duration with the
-// least expected cost of cold starts and idle time. Weight 1 keeps for
-// Tuning.Max, weight 0 for Tuning.Min.
+// KeepFor returns how long a replica may stay idle before it is unloaded: the duration
+// with the lowest expected cost of cold starts and idle time. The result is Tuning.Max
+// for weight 1 and Tuning.Min for weight 0. reload is the time of a cold start.
 func (st *Stats) KeepFor(t Tuning, weight float64, reload time.Duration) time.Duration {
 	if weight >= 1 {
 		return t.Max
 	}
-	value := t.ColdValue * weight / (1 - weight) * reload.Seconds()
-	best, least := t.Min, math.Inf(1)
+	coldCost := t.ColdValue * weight / (1 - weight) * reload.Seconds()
+	best, minCost := t.Min, math.Inf(1)
 	idle := 0.0 // expected idle seconds up to the candidate
 	prev, alive := time.Duration(0), 1.0
 	total := st.total()
@@ -206,17 +206,17 @@
 		idle += (end - prev).Seconds() * (alive + after) / 2
 		prev, alive = end, after
 		if 2*end <= t.Min || end > t.Max {
-			continue // the edge just below Min stands for Min
+			continue // the edge just below Min represents Min
 		}
-		if cost := value*after + idle; cost < least {
-			best, least = end, cost
+		if cost := coldCost*after + idle; cost < minCost {
+			best, minCost = end, cost
 		}
 	}
 	return min(max(best, t.Min), t.Max)
 }
 
-// Companions returns the targets that woke shortly before or after this one in
-// at least the given share of its wakes, when there are enough wakes to tell.
+// Companions returns the targets that woke shortly before or after this one in at least
+// the given share of its wakes. It returns none if there were fewer than atLeast wakes.
 func (st *Stats) Companions(share float64, atLeast float32) []ident.Target {
 	var out []ident.Target
 	if st.Wakes < atLeast {
--- a/internal/core/keepalive/keepalive_test.go
+++ b/internal/core/keepalive/keepalive_test.go
@@ -20,7 +20,7 @@
 	return h.Stats(ident.Target{Model: "m"})
 }
 
-func TestKeepFollowsHistoryAndWeight(t *testing.T) {
+func TestKeepForFollowsHistoryAndWeight(t *testing.T) {
 	is := is.New(t)
 	tune := DefaultTuning()
 	var often, daily []time.Duration
@@ -30,21 +30,21 @@
 	}
 	o, d := history(often...), history(daily...)
 	reload := 10 * time.Second
-	is.True(o.KeepFor(tune, 0.5, reload) >= 40*time.Second) // worth waiting for the next use
-	is.Equal(d.KeepFor(tune, 0.5, reload), tune.Min)        // it will not come soon
+	is.True(o.KeepFor(tune, 0.5, reload) >= 40*time.Second) // waiting for the next use costs less
+	is.Equal(d.KeepFor(tune, 0.5, reload), tune.Min)        // the next use is not expected soon
 	is.Equal(o.KeepFor(tune, 1, reload), tune.Max)
 	is.Equal(o.KeepFor(tune, 0, reload), tune.Min)
 	none := Stats{}
 	short, long := none.KeepFor(tune, 0.2, reload), none.KeepFor(tune, 0.8, reload)
-	is.True(short < long) // the knob works without history
+	is.True(short < long) // the weight has an effect without history
 }
 
-func TestSurvivalFallsAndUseIsAShareOfIt(t *testing.T) {
+func TestSurvivalDecreasesAndUseIsAProbability(t *testing.T) {
 	is := is.New(t)
 	s := history(10*time.Second, 100*time.Second, 1000*time.Second)
 	last := 1.0
 	for d := time.Duration(0); d < 3*time.Hour; d += 7 * time.Second {
-		p := s.Survive(d)
+		p := s.Survival(d)
 		is.True(p <= last+1e-9)
 		last = p
 		u := s.UseWithin(d, time.Minute)
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestCompanionsAreThoseThatUsuallyWakeTogether(t *testing.T) {
+func TestCompanionsAreTargetsThatUsuallyWakeTogether(t *testing.T) {
 	is := is.New(t)
 	a, b, c := ident.Target{Model: "a"}, ident.Target{Model: "b"}, ident.Target{Model: "c"}
 	h := NewHistory()
