--- a/internal/core/allowance/client.go
+++ b/internal/core/allowance/client.go
@@ -12,8 +12,8 @@
 type Client struct {
 	draw       func() float64 // returns a random number from 0 to 1
 	accounts   map[ident.Customer]*localAccount
-	lastAnswer time.Time // last answer of the leader
-	silent     bool      // the last report was not answered
+	lastAnswer time.Time
+	silent     bool // the last report was not answered
 }
 
 // localAccount is one customer's state at this entry.
@@ -30,7 +30,7 @@
 	fallbackBurst float64   // units in addition to fallback when the leader becomes silent
 	credit        float64   // units that may be spent while the leader is silent
 	creditAt      time.Time // when credit was last updated
-	lastRequest   time.Time // when the last request arrived
+	lastRequest   time.Time
 }
 
 // Decision tells whether a request is admitted under its customer's allowance.
--- a/internal/core/allowance/model_test.go
+++ b/internal/core/allowance/model_test.go
@@ -40,8 +40,8 @@
 	now           time.Time
 	limit         customer.Allowance
 	leader        *Allocator
-	leaderStarts  []time.Time // starts of leaders
-	noLeaderUntil time.Time   // no leader until then
+	leaderStarts  []time.Time
+	noLeaderUntil time.Time
 	entries       []*modelEntry
 	later         []func()
 	due           []time.Time
