--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -84,7 +84,7 @@
 
 type waiter struct {
 	req          Request
-	virtualStart float64 // virtual start time
+	virtualStart float64
 	class        int
 	seq          uint64
 	heapIndex    int
