--- a/internal/core/keepalive/keepalive.go
+++ b/internal/core/keepalive/keepalive.go
@@ -20,7 +20,7 @@
 	buckets     = 18          // idle times from 1 s, doubling, to about 36 hours
 	firstBucket = time.Second // upper edge of bucket 0
 	priorWeight = 2.0         // number of observations to which the prior is equivalent
-	maxPartners = 8           // maximum number of partners recorded for a target
+	maxPartners = 8           // partners recorded for a target
 	halveAfter  = 4096        // wakes after which all earlier observations are halved
 )
 
@@ -39,7 +39,7 @@
 	With  []Partner        `json:"with,omitempty"`
 }
 
-// Partner is a target that woke shortly before the one it is listed under.
+// Partner is a target that woke shortly before or after the one under which it is listed.
 type Partner struct {
 	Target ident.Target `json:"target"`
 	Count  float32      `json:"count"`
@@ -92,9 +92,9 @@
 	}
 }
 
-// countPartner counts one wake together with t. If the list is full, t replaces the partner with
-// the lowest count and inherits that count, so that a new partner that wakes often is
-// not displaced forever (the Space-Saving algorithm).
+// countPartner counts one wake together with t. If the list is full, t replaces the partner
+// with the lowest count and inherits that count, so that a new partner that wakes often
+// is not starved (the Space-Saving algorithm).
 func (st *Stats) countPartner(t ident.Target) {
 	rarest := -1
 	for i := range st.With {
@@ -177,7 +177,7 @@
 	return (now - st.Survival(idle+horizon)) / now
 }
 
-// Tuning bounds a Policy.
+// Tuning holds the bounds of KeepFor and the cost of a cold start.
 type Tuning struct {
 	Min, Max  time.Duration
 	ColdValue float64 // seconds of idle accelerator time that cost as much as one second of cold start at weight 0.5
