--- a/internal/app/controller/allowances.go
+++ b/internal/app/controller/allowances.go
@@ -13,8 +13,8 @@
 	"github.com/cassiapass/cassiapass/internal/wire"
 )
 
-// allowances is what customers may use, as this host tells entries while it leads. They are
-// answered without the controller's loop, which plans take up.
+// allowances distributes customers' allowances over entries while this host leads. Calls
+// are answered outside the controller's loop, where they would wait for plans.
 type allowances struct {
 	tolerance allowance.Tolerance
 
@@ -22,20 +22,20 @@
 	alloc *allowance.Allocator // nil while this host does not lead
 }
 
-func (a *allowances) begin() {
+func (a *allowances) startLeading() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.alloc = allowance.NewAllocator(a.tolerance)
 }
 
-func (a *allowances) retire() {
+func (a *allowances) stopLeading() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.alloc = nil
 }
 
-// deployed puts the limits of a deployment in force.
-func (a *allowances) deployed(now time.Time, book *customer.Book) {
+// setLimits applies the limits of a deployment.
+func (a *allowances) setLimits(now time.Time, book *customer.Book) {
 	var limits []allowance.Limit
 	if book != nil {
 		book.All(func(c *customer.Customer) {
@@ -51,8 +51,8 @@
 	}
 }
 
-// heard notes that an entry lives, or stops.
-func (a *allowances) heard(now time.Time, p wire.PullParams) {
+// recordPull records that an entry is alive, or that it is leaving.
+func (a *allowances) recordPull(now time.Time, p wire.PullParams) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
@@ -64,6 +64,7 @@
 	}
 }
 
+// report applies the use that an entry reports and returns the entry's shares.
 func (a *allowances) report(now time.Time, p wire.AllowanceParams) wire.AllowanceResult {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -73,7 +74,7 @@
 	return wire.AllowanceResult{Leading: true, Shares: a.alloc.Report(now, string(p.Host), p.Uses)}
 }
 
-// status returns how customers stand; false if this host does not lead.
+// status returns the state of all allowances; false if this host does not lead.
 func (a *allowances) status(now time.Time) ([]allowance.Status, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -83,15 +84,16 @@
 	return a.alloc.Status(now), true
 }
 
-// AllowancesPath is where operators read how customers stand with their allowances.
+// AllowancesPath is the path of the operator API at which customers' allowances are read.
 const AllowancesPath = "/v1/allowances"
 
-// ServeAllowances answers an operator with how customers stand: an []allowance.Status. Only
-// the leader knows; another host says who leads, and the operator's client asks the next.
+// ServeAllowances answers an operator's request with an []allowance.Status. Only the leader
+// has it; another host names the leader in an error, and the operator's client asks the next
+// host.
 func (c *Controller) ServeAllowances(x echo.Context) error {
 	st, leads := c.allow.status(time.Now())
 	if !leads {
-		return x.JSON(http.StatusServiceUnavailable, control.Failure{Code: "not_leader", Message: "this host does not lead; the leader's address among control hosts is " + c.lead.LeaderAddr()})
+		return x.JSON(http.StatusServiceUnavailable, control.Failure{Code: "not_leader", Message: "this host does not lead; the leader's address among control hosts is " + c.host.LeaderAddr()})
 	}
 	return x.JSON(http.StatusOK, st)
 }
--- a/internal/app/controller/bench_test.go
+++ b/internal/app/controller/bench_test.go
@@ -60,8 +60,8 @@
 	return f, dep
 }
 
-// benchTell is what a busy entry tells five times a second and more.
-func benchTell(entry, round int) wire.TellParams {
+// benchReport returns a report of a busy entry, which sends five or more a second.
+func benchReport(entry, round int) wire.TellParams {
 	p := wire.TellParams{Host: ident.HostID(fmt.Sprintf("edge-fukuoka-%d", entry))}
 	for i := range 6 {
 		m := (entry*31 + round*17 + i*53) % benchModels
@@ -78,38 +78,38 @@
 	return p
 }
 
-// BenchmarkLeader measures what the leader does in a second before 180 engines, for 105
-// busy entries: 7 reports from each, a plan each 10 ms, 9 answers to each. One operation is
-// a tenth of that second.
+// BenchmarkLeader measures the leader's work for 180 engines and 105 busy entries: in one
+// second it gets 7 reports from each entry, plans every 10 ms and sends 9 answers to each.
+// One operation is a tenth of that second.
 func BenchmarkLeader(b *testing.B) {
 	f, dep := benchFleet()
 	c := New(Config{Fleet: f, Decode: func(string) (*deploy.Config, error) { return dep, nil }, Plan: fleet.DefaultConfig(), Host: "h1", Log: zerolog.Nop()})
 	lead := leading(1)
-	c.lead = lead
-	c.board.deploy(lead.DeploymentHere())
+	c.host = lead
+	c.pub.setDeployment(lead.DeploymentHere())
 	now := time.Now()
-	c.lead = &testLead{}
-	c.begin(now, 1)
-	c.takeDeployment()
+	c.host = &testHost{}
+	c.beginTerm(now, 1)
+	c.applyDeployment()
 	c.listOK = true
 	c.planner.List(now, now, f.eps)
 	for e := range benchEntries {
 		c.entries[fmt.Sprintf("edge-fukuoka-%d", e)] = now.Add(time.Hour)
 	}
-	var tells [][]byte
+	var reports [][]byte
 	for e := range benchEntries * 7 {
-		raw, err := json.Marshal(benchTell(e%benchEntries, e))
+		raw, err := json.Marshal(benchReport(e%benchEntries, e))
 		if err != nil {
 			b.Fatal(err)
 		}
-		tells = append(tells, raw)
+		reports = append(reports, raw)
 	}
 	rev, round := uint64(0), 0
 	size := 0
 	for b.Loop() {
-		for range len(tells) / 10 {
+		for range len(reports) / 10 {
 			var p wire.TellParams
-			if err := json.Unmarshal(tells[round%len(tells)], &p); err != nil {
+			if err := json.Unmarshal(reports[round%len(reports)], &p); err != nil {
 				b.Fatal(err)
 			}
 			c.planner.Hear(now, string(p.Host), p.Demands, p.Uses)
@@ -124,7 +124,7 @@
 			c.publish(now)
 		}
 		for e := range benchEntries * 9 / 10 {
-			r, _, _ := c.board.answer(wire.PullParams{Host: ident.HostID(fmt.Sprint(e)), Term: 1, Rev: rev, Version: 3})
+			r, _, _ := c.pub.answer(wire.PullParams{Host: ident.HostID(fmt.Sprint(e)), Term: 1, Rev: rev, Version: 3})
 			raw, err := json.Marshal(r)
 			if err != nil {
 				b.Fatal(err)
--- a/internal/app/controller/calls.go
+++ b/internal/app/controller/calls.go
@@ -11,14 +11,15 @@
 	"github.com/cassiapass/cassiapass/internal/wire"
 )
 
-// maxHold bounds how long a pull may be held: the entry's next one carries its
-// sign of life.
+// maxHold bounds how long a pull may be held: pulls serve as the entry's
+// heartbeats.
 const maxHold = time.Second
 
-// Deployed takes in a deployment that came into force on this host.
-func (c *Controller) Deployed(d state.Deployment) { c.board.deploy(d) }
+// Deployed publishes a deployment that came into force on this host.
+func (c *Controller) Deployed(d state.Deployment) { c.pub.setDeployment(d) }
 
-// Handle answers what entries ask.
+// Handle answers the calls of entries. It fails on an unknown method and on parameters
+// that cannot be decoded.
 func (c *Controller) Handle(ctx context.Context, method string, raw json.RawMessage) (any, error) {
 	switch method {
 	case wire.MethodPull:
@@ -32,7 +33,7 @@
 		if err := json.Unmarshal(raw, &p); err != nil {
 			return nil, err
 		}
-		c.tell(p)
+		c.acceptReport(p)
 		return nil, nil
 	case wire.MethodAllowance:
 		var p wire.AllowanceParams
@@ -44,39 +45,39 @@
 	return nil, fmt.Errorf("method %q is not known", method)
 }
 
-// pull answers at once if something changed, else after the hold time.
+// pull answers as soon as the entry is missing something, at the latest after the hold time.
 func (c *Controller) pull(ctx context.Context, p wire.PullParams) (wire.PullResult, error) {
-	if c.lead == nil {
+	if c.host == nil {
 		return wire.PullResult{}, nil // still starting
 	}
-	c.heard(p)
-	c.allow.heard(time.Now(), p)
+	c.recordPull(p)
+	c.allow.recordPull(time.Now(), p)
 	if p.First {
-		// A process that begins takes whatever it is told; a leader that was
-		// cut off and does not know it yet would tell it an old deployment.
-		l := c.lead.Lead()
-		if err := c.lead.ConfirmLead(ctx, l.Term); err != nil {
+		// A starting process accepts any deployment; a partitioned leader that
+		// has not stepped down yet would send it an old one.
+		l := c.host.Lead()
+		if err := c.host.ConfirmLead(ctx, l.Term); err != nil {
 			return c.redirect(), nil
 		}
 	}
 	timer := time.NewTimer(min(p.Hold, maxHold))
 	defer timer.Stop()
 	for {
-		r, lacks, news := c.board.answer(p)
+		r, missing, wake := c.pub.answer(p)
 		if !r.Leading {
 			return c.redirect(), nil
 		}
-		if lacks {
-			r, err := c.spaced(ctx, p.Host, r)
-			r.Members = c.lead.Members()
+		if missing {
+			r, err := c.pace(ctx, p.Host, r)
+			r.Members = c.host.Members()
 			return r, err
 		}
 		select {
-		case <-news.all:
-		case <-news.own:
+		case <-wake.all:
+		case <-wake.own:
 		case <-timer.C:
-			r, _, _ = c.board.answer(p)
-			r.Members = c.lead.Members()
+			r, _, _ = c.pub.answer(p)
+			r.Members = c.host.Members()
 			return r, nil
 		case <-ctx.Done():
 			return r, ctx.Err()
@@ -85,26 +86,26 @@
 }
 
 const (
-	// smallNews is up to which an answer is told at once.
-	smallNews = 2 << 10
-	// newsWait is how long an answer waits for its turn on the link. It is shorter
-	// than what the entry allows beyond the hold time.
-	newsWait = 300 * time.Millisecond
+	// smallAnswer is the size in bytes from which on an answer is paced.
+	smallAnswer = 2 << 10
+	// maxSendWait bounds how long an answer waits for its slot on the link. It is
+	// shorter than the time that the entry allows beyond the hold time.
+	maxSendWait = 300 * time.Millisecond
 )
 
-// spaced returns an answer with news when the link has room for it. If that is not
-// soon, it returns the answer without the news: the entry goes on with what it has and
-// asks again. Symptom without it: a change that concerns 1,500 endpoints is told to
-// 300 entries in the same moment; the leader's heartbeats wait behind 16 MB and the
-// next leader is elected, which tells all of it anew.
-func (c *Controller) spaced(ctx context.Context, host ident.HostID, r wire.PullResult) (wire.PullResult, error) {
+// pace returns an answer when the link has capacity for it. If that takes longer than
+// maxSendWait, it returns the answer without the endpoints and the deployment: the entry
+// continues with its present state and calls again. Without it, a change to 1,500
+// endpoints is sent to 300 entries at the same moment; the leader's heartbeats queue
+// behind 16 MB, and another leader is elected, which sends all of it again.
+func (c *Controller) pace(ctx context.Context, host ident.HostID, r wire.PullResult) (wire.PullResult, error) {
 	size := len(r.Packed) + len(r.Deployment)
-	if size < smallNews {
+	if size < smallAnswer {
 		return r, nil
 	}
-	wait, ok := c.board.book(time.Now(), host, size)
+	wait, ok := c.pub.reserve(time.Now(), host, size)
 	if !ok {
-		wait = newsWait
+		wait = maxSendWait
 		r.Endpoints, r.Packed, r.Removed, r.Deployment = nil, nil, nil, nil
 	}
 	select {
@@ -115,11 +116,13 @@
 	}
 }
 
+// redirect returns an answer that names the leader.
 func (c *Controller) redirect() wire.PullResult {
-	return wire.PullResult{Leader: c.lead.LeaderAddr(), Members: c.lead.Members()}
+	return wire.PullResult{Leader: c.host.LeaderAddr(), Members: c.host.Members()}
 }
 
-func (c *Controller) heard(p wire.PullParams) {
+// recordPull records that an entry is alive, or that it is leaving.
+func (c *Controller) recordPull(p wire.PullParams) {
 	c.post(func(now time.Time) {
 		if c.term == 0 {
 			return
@@ -132,12 +135,12 @@
 	})
 }
 
-// tell takes in what waits and runs at an entry.
-func (c *Controller) tell(p wire.TellParams) {
+// acceptReport applies an entry's report of waiting and running requests and of ended endpoints.
+func (c *Controller) acceptReport(p wire.TellParams) {
 	c.post(func(now time.Time) {
 		if c.planner != nil {
 			c.planner.Hear(now, string(p.Host), p.Demands, p.Uses)
-			c.hearEnds(now, p.Host, p.Ends, p.Answered)
+			c.recordEnds(now, p.Host, p.Ends, p.Answered)
 		}
 	})
 }
--- a/internal/app/controller/confirm_test.go
+++ b/internal/app/controller/confirm_test.go
@@ -12,21 +12,21 @@
 	"github.com/cassiapass/cassiapass/internal/core/fleet"
 )
 
-// countingLead counts how often a quorum is asked to confirm the lead.
-type countingLead struct {
-	*testLead
-	asked atomic.Int64
+// countingHost counts how often a quorum is asked to confirm its leadership.
+type countingHost struct {
+	*testHost
+	confirmations atomic.Int64
 }
 
-func (l *countingLead) ConfirmLead(ctx context.Context, term uint64) error {
-	l.asked.Add(1)
-	return l.testLead.ConfirmLead(ctx, term)
+func (l *countingHost) ConfirmLead(ctx context.Context, term uint64) error {
+	l.confirmations.Add(1)
+	return l.testHost.ConfirmLead(ctx, term)
 }
 
 // idle returns a controller whose loop does not run.
 func idle(lead Leadership, fl *testFleet) *Controller {
 	c := New(Config{Fleet: fl, Plan: fleet.DefaultConfig(), Host: "h1", Log: zerolog.Nop()})
-	c.lead = lead
+	c.host = lead
 	return c
 }
 
@@ -39,26 +39,27 @@
 	return out
 }
 
-// Symptom: before 180 engines the leader's half core is busy, orders leave 0.1 to 0.4 s late.
-// Sequence: a plan gives several orders at once; each asks all voters whether this host leads.
+// Guards against a leader that confirms its leadership with all voters for each of several
+// orders of one plan: with 180 engines its half core is busy, and orders leave 0.1 to 0.4 s
+// late.
 func TestOrdersOfOnePlanAreConfirmedOnce(t *testing.T) {
 	is := is.New(t)
 	fl := &testFleet{answer: fleet.Accepted}
-	lead := &countingLead{testLead: leading(7)}
+	lead := &countingHost{testHost: leading(7)}
 	c := idle(lead, fl)
-	c.giveAll(nil, 7, orders(12))
-	is.Equal(lead.asked.Load(), int64(1))
-	is.Equal(fl.given(), 12)
+	c.sendOrders(nil, 7, orders(12))
+	is.Equal(lead.confirmations.Load(), int64(1))
+	is.Equal(fl.orderCount(), 12)
 }
 
-// Symptom: engines get orders from a host that leads no more.
-// Sequence: a leader is frozen after a plan, another one takes over, it wakes up.
+// Guards against orders from a host that no longer leads: a leader is suspended after a
+// plan, another one takes over, and the first one resumes.
 func TestOrdersThatNoQuorumConfirmsAreNotGiven(t *testing.T) {
 	is := is.New(t)
 	fl := &testFleet{answer: fleet.Accepted}
 	lead := leading(7)
 	lead.confirmed = false
 	c := idle(lead, fl)
-	c.giveAll(nil, 7, orders(3))
-	is.Equal(fl.given(), 0)
+	c.sendOrders(nil, 7, orders(3))
+	is.Equal(fl.orderCount(), 0)
 }
--- a/internal/app/controller/controller_test.go
+++ b/internal/app/controller/controller_test.go
@@ -27,8 +27,8 @@
 	"github.com/cassiapass/cassiapass/internal/wire"
 )
 
-// testLead is a control host whose lead a test sets.
-type testLead struct {
+// testHost is a control host whose leadership is set by the test.
+type testHost struct {
 	mu        sync.Mutex
 	lead      control.Lead
 	confirmed bool
@@ -37,19 +37,19 @@
 	poison    poison.Registry
 }
 
-func (l *testLead) set(f func()) {
+func (l *testHost) set(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
 }
 
-func (l *testLead) Lead() control.Lead {
+func (l *testHost) Lead() control.Lead {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lead
 }
 
-func (l *testLead) ConfirmLead(context.Context, uint64) error {
+func (l *testHost) ConfirmLead(context.Context, uint64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.confirmed {
@@ -58,35 +58,35 @@
 	return nil
 }
 
-func (l *testLead) LeaderAddr() string { return "10.0.0.2:7000" }
+func (l *testHost) LeaderAddr() string { return "10.0.0.2:7000" }
 
-func (l *testLead) Members() []string { return []string{"10.0.0.1:7000", "10.0.0.2:7000"} }
+func (l *testHost) Members() []string { return []string{"10.0.0.1:7000", "10.0.0.2:7000"} }
 
-func (l *testLead) Holder() holder.Record {
+func (l *testHost) Holder() holder.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.holder
 }
 
-func (l *testLead) NoteHolder(_ context.Context, r holder.Record) error {
+func (l *testHost) NoteHolder(_ context.Context, r holder.Record) error {
 	l.set(func() { l.holder = l.holder.Next(r) })
 	return nil
 }
 
-func (l *testLead) Poison() poison.Registry {
+func (l *testHost) Poison() poison.Registry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.poison
 }
 
-func (l *testLead) NotePoison(_ context.Context, n poison.Note) error {
+func (l *testHost) NotePoison(_ context.Context, n poison.Note) error {
 	l.set(func() { l.poison = l.poison.Next(n) })
 	return nil
 }
 
-func (l *testLead) DeploymentHere() state.Deployment { return l.dep }
+func (l *testHost) DeploymentHere() state.Deployment { return l.dep }
 
-// testFleet is one engine that holds nothing and has every model on its disk.
+// testFleet is one engine that holds no model and has model m on its disk.
 type testFleet struct {
 	mu     sync.Mutex
 	answer fleet.Answer
@@ -109,7 +109,7 @@
 	return f.answer
 }
 
-func (f *testFleet) given() int {
+func (f *testFleet) orderCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.orders)
@@ -121,13 +121,15 @@
 	return f.fences[len(f.fences)-1]
 }
 
-func begin(t *testing.T, lead *testLead, fl *testFleet) *Controller {
+// startController returns a running controller.
+func startController(t *testing.T, lead *testHost, fl *testFleet) *Controller {
 	t.Helper()
-	return beginWith(t, lead, fl, 0)
+	return startWithLease(t, lead, fl, 0)
 }
 
-// beginWith is begin before engines that check no fencing numbers, if lease is not 0.
-func beginWith(t *testing.T, lead *testLead, fl *testFleet, lease time.Duration) *Controller {
+// startWithLease returns a running controller with a lease; 0 means that the deployment
+// names none.
+func startWithLease(t *testing.T, lead *testHost, fl *testFleet, lease time.Duration) *Controller {
 	t.Helper()
 	dep := &deploy.Config{Version: 3, Services: map[string]*deploy.Service{"llm": {Name: "llm", Engine: &deploy.Engine{
 		Slots: 8, Weights: 83000, AdapterPlaces: 2, Models: map[string]*deploy.Model{"m": {Name: "m", Megabytes: 20000, FromDisk: 50 * time.Millisecond}},
@@ -138,8 +140,8 @@
 	return c
 }
 
-func leading(term uint64) *testLead {
-	return &testLead{lead: control.Lead{Leading: true, Term: term}, confirmed: true, dep: state.Deployment{Version: 3, Text: "x", Revision: 9}}
+func leading(term uint64) *testHost {
+	return &testHost{lead: control.Lead{Leading: true, Term: term}, confirmed: true, dep: state.Deployment{Version: 3, Text: "x", Revision: 9}}
 }
 
 func pull(t *testing.T, c *Controller, p wire.PullParams) wire.PullResult {
@@ -155,7 +157,7 @@
 	return res.(wire.PullResult)
 }
 
-// version returns the version of the deployment that an answer tells.
+// version returns the version of the deployment in an answer.
 func version(t *testing.T, r wire.PullResult) uint64 {
 	t.Helper()
 	var d state.Deployment
@@ -165,7 +167,8 @@
 	return d.Version
 }
 
-func want(t *testing.T, c *Controller) {
+// requestModel reports a request at an entry that waits for the model.
+func requestModel(t *testing.T, c *Controller) {
 	t.Helper()
 	raw, err := json.Marshal(wire.TellParams{Host: "entry-1", Demands: []fleet.Demand{{Want: fleet.Want{Model: "m"}, Arrived: 1, Waiting: 1, Earliest: time.Second}}})
 	if err != nil {
@@ -185,11 +188,11 @@
 	}
 }
 
-func TestPullTellsWhatIsMissingAndWaitsOtherwise(t *testing.T) {
+func TestPullReturnsWhatIsMissingOrWaits(t *testing.T) {
 	is := is.New(t)
-	c := begin(t, leading(7), &testFleet{answer: fleet.Accepted})
+	c := startController(t, leading(7), &testFleet{answer: fleet.Accepted})
 	var r wire.PullResult
-	eventually(t, "endpoints are told", func() bool {
+	eventually(t, "endpoints are published", func() bool {
 		r = pull(t, c, wire.PullParams{Host: "entry-1", Hold: 50 * time.Millisecond, First: true})
 		return r.Endpoints != nil && r.Deployment != nil && r.Suspects != nil
 	})
@@ -199,7 +202,7 @@
 	at := time.Now()
 	r = pull(t, c, have)
 	is.True(r.Endpoints == nil && r.Deployment == nil && r.Suspects == nil)
-	is.True(time.Since(at) >= 90*time.Millisecond) // held, not polled
+	is.True(time.Since(at) >= 90*time.Millisecond) // held until the hold time is over
 	is.Equal(r.Entries, 1)
 
 	go func() {
@@ -210,75 +213,73 @@
 	at = time.Now()
 	r = pull(t, c, have)
 	is.Equal(version(t, r), uint64(4))
-	is.True(time.Since(at) < 500*time.Millisecond) // told at once
+	is.True(time.Since(at) < 500*time.Millisecond) // answered at once
 }
 
-// Symptom: an entry that has just started serves a deployment of long ago.
-// Sequence: it asks a leader that was cut off and does not know it yet.
-// Cause: a beginner takes whatever it is told.
-func TestBeginnerIsToldOnlyByAConfirmedLeader(t *testing.T) {
+// Guards against a starting entry that serves an outdated deployment: it accepts any
+// deployment, also that of a partitioned leader that has not stepped down yet.
+func TestStartingEntryIsServedOnlyByAConfirmedLeader(t *testing.T) {
 	is := is.New(t)
 	lead := leading(7)
 	lead.confirmed = false
-	c := begin(t, lead, &testFleet{})
+	c := startController(t, lead, &testFleet{})
 	r := pull(t, c, wire.PullParams{Host: "entry-1", First: true})
 	is.True(!r.Leading && r.Deployment == nil)
-	is.Equal(r.Leader, "10.0.0.2:7000") // whom to ask instead
+	is.Equal(r.Leader, "10.0.0.2:7000") // the host to call instead
 }
 
-func TestFollowerSendsEntriesToTheLeader(t *testing.T) {
+func TestFollowerRedirectsEntriesToTheLeader(t *testing.T) {
 	is := is.New(t)
 	lead := leading(7)
 	lead.lead.Leading = false
-	c := begin(t, lead, &testFleet{})
+	c := startController(t, lead, &testFleet{})
 	r := pull(t, c, wire.PullParams{Host: "entry-1", Version: 3})
 	is.True(!r.Leading)
 	is.Equal(r.Leader, "10.0.0.2:7000")
 }
 
-// Symptom: an engine gets an order from a leader that leads no more.
-// Sequence: the leader was frozen; it wakes and acts before it hears anything.
+// Guards against orders from a host that no longer leads: a suspended leader resumes and
+// sends orders before it receives any message.
 func TestOrdersNeedAConfirmedLead(t *testing.T) {
 	is := is.New(t)
 	lead := leading(7)
 	fl := &testFleet{answer: fleet.Accepted}
-	c := begin(t, lead, fl)
+	c := startController(t, lead, fl)
 	eventually(t, "list read", func() bool { return pull(t, c, wire.PullParams{Host: "entry-1"}).Endpoints != nil })
 	lead.set(func() { lead.confirmed = false })
-	want(t, c)
+	requestModel(t, c)
 	time.Sleep(600 * time.Millisecond)
-	is.Equal(fl.given(), 0)
+	is.Equal(fl.orderCount(), 0)
 	lead.set(func() { lead.confirmed = true })
-	eventually(t, "an order is given", func() bool { want(t, c); return fl.given() > 0 })
+	eventually(t, "an order is given", func() bool { requestModel(t, c); return fl.orderCount() > 0 })
 	is.Equal(fl.lastFence(), uint64(7)) // under the leader's term
 }
 
-// Symptom: a leader that was replaced goes on giving orders under its old number.
-// Sequence: an engine refuses it because of a newer leader.
-func TestFencedLeaderStopsUntilItLeadsAnew(t *testing.T) {
+// Guards against a replaced leader that continues to send orders under its old fencing
+// token after an engine rejected one because of a newer leader.
+func TestFencedLeaderSendsNoOrdersUntilItsNextTerm(t *testing.T) {
 	is := is.New(t)
 	lead := leading(7)
 	fl := &testFleet{answer: fleet.Fenced}
-	c := begin(t, lead, fl)
-	eventually(t, "an order is given", func() bool { want(t, c); return fl.given() > 0 })
+	c := startController(t, lead, fl)
+	eventually(t, "an order is given", func() bool { requestModel(t, c); return fl.orderCount() > 0 })
 	time.Sleep(100 * time.Millisecond)
-	n := fl.given()
+	n := fl.orderCount()
 	for range 10 {
-		want(t, c)
+		requestModel(t, c)
 		time.Sleep(50 * time.Millisecond)
 	}
-	is.Equal(fl.given(), n)
+	is.Equal(fl.orderCount(), n)
 	lead.set(func() { lead.lead.Term = 9 })
-	eventually(t, "orders go on under the next term", func() bool { want(t, c); return fl.given() > n && fl.lastFence() == 9 })
+	eventually(t, "orders go on under the next term", func() bool { requestModel(t, c); return fl.orderCount() > n && fl.lastFence() == 9 })
 }
 
-// Symptom: control's messages grow with the square of the fleet.
-// Sequence: one endpoint of many changes.
-// Cause: every entry gets the whole list each time.
-func TestEntriesAreToldOnlyWhatChanged(t *testing.T) {
+// Guards against answers whose total size grows with the square of the fleet: one of many
+// endpoints changes, and every entry gets the whole list.
+func TestEntriesReceiveOnlyChanges(t *testing.T) {
 	is := is.New(t)
-	b := newBoard(0)
-	b.lead(7)
+	pub := newPublisher(0)
+	pub.startLeading(7)
 	ep := func(id string, held ...string) fleet.Endpoint {
 		e := fleet.Endpoint{ID: fleet.EndpointID(id)}
 		for _, m := range held {
@@ -286,34 +287,32 @@
 		}
 		return e
 	}
-	b.endpoints(1, []fleet.Endpoint{ep("a", "m"), ep("b"), ep("c")})
-	r, news, _ := b.answer(wire.PullParams{})
-	is.True(news && !r.Delta)
+	pub.publishAll(1, []fleet.Endpoint{ep("a", "m"), ep("b"), ep("c")})
+	r, missing, _ := pub.answer(wire.PullParams{})
+	is.True(missing && !r.Delta)
 	is.Equal(len(*r.Endpoints), 3)
-	b.endpoints(2, []fleet.Endpoint{ep("a", "m"), ep("b", "n"), ep("c")})
-	b.endpoints(3, []fleet.Endpoint{ep("a", "m"), ep("b", "n"), ep("d")})
-	r, _, _ = b.answer(wire.PullParams{Term: 7, Rev: 2})
+	pub.publishAll(2, []fleet.Endpoint{ep("a", "m"), ep("b", "n"), ep("c")})
+	pub.publishAll(3, []fleet.Endpoint{ep("a", "m"), ep("b", "n"), ep("d")})
+	r, _, _ = pub.answer(wire.PullParams{Term: 7, Rev: 2})
 	is.True(r.Delta)
 	is.Equal(*r.Endpoints, []fleet.Endpoint{ep("d")})
 	is.Equal(r.Removed, []fleet.EndpointID{"c"})
-	r, _, _ = b.answer(wire.PullParams{Term: 7, Rev: 1})
+	r, _, _ = pub.answer(wire.PullParams{Term: 7, Rev: 1})
 	is.Equal(len(*r.Endpoints), 2)
-	r, _, _ = b.answer(wire.PullParams{Term: 6, Rev: 3}) // another leader's numbers
+	r, _, _ = pub.answer(wire.PullParams{Term: 6, Rev: 3}) // another leader's revisions
 	is.True(!r.Delta)
 	is.Equal(len(*r.Endpoints), 3)
-	_, news, _ = b.answer(wire.PullParams{Term: 7, Rev: 3})
-	is.True(!news)
+	_, missing, _ = pub.answer(wire.PullParams{Term: 7, Rev: 3})
+	is.True(!missing)
 }
 
-// Symptom: what entries are told is seconds old, and with it what they know of
-// leaving endpoints and of deployments.
-// Sequence: many entries report what waits, each several times a second.
-// Cause: the leader planned after each report. Its plans took longer than the
-// time between reports, and reports queued up.
+// Guards against a leader that plans after each report of many entries, each of which sends
+// several a second. Its plans take longer than the time between reports, reports queue up,
+// and entries learn of leaving endpoints and of deployments seconds late.
 func TestReportsArePlannedTogether(t *testing.T) {
 	is := is.New(t)
 	lead := leading(4)
-	c := begin(t, lead, &testFleet{answer: fleet.Accepted})
+	c := startController(t, lead, &testFleet{answer: fleet.Accepted})
 	plans := func() int {
 		var b bytes.Buffer
 		c.met.set.WritePrometheus(&b)
@@ -331,24 +330,23 @@
 	}
 	before, start := plans(), time.Now()
 	for i := range 2000 {
-		c.tell(wire.TellParams{Host: ident.HostID(fmt.Sprintf("entry-%d", i%31)), Demands: []fleet.Demand{{Want: fleet.Want{Model: "m"}, Arrived: 1}}})
+		c.acceptReport(wire.TellParams{Host: ident.HostID(fmt.Sprintf("entry-%d", i%31)), Demands: []fleet.Demand{{Want: fleet.Want{Model: "m"}, Arrived: 1}}})
 		if i%20 == 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	most := int(time.Since(start)/actPause) + 2
-	is.True(plans()-before <= most)
+	maxPlans := int(time.Since(start)/minPlanPause) + 2
+	is.True(plans()-before <= maxPlans)
 }
 
-// Symptom: a leader with many entries spends its processor on telling them of
-// every single change.
-// Sequence: changes come one after the other.
-func TestChangesAreToldTogetherToManyEntries(t *testing.T) {
+// Guards against a leader that spends its processor time on publishing every single change
+// to many entries.
+func TestChangesAreBatchedForManyEntries(t *testing.T) {
 	is := is.New(t)
 	c := New(Config{Fleet: &testFleet{}, Plan: fleet.DefaultConfig(), Log: zerolog.Nop()})
 	now := time.Unix(1e6, 0)
-	c.lead = &testLead{}
-	c.begin(now, 3)
+	c.host = &testHost{}
+	c.beginTerm(now, 3)
 	c.listOK = true
 	for i := range 31 {
 		c.entries[fmt.Sprint(i)] = now.Add(time.Hour)
@@ -360,19 +358,18 @@
 	}
 	is.True(c.rev >= 3 && c.rev <= 4) // every 62 ms
 	c.publish(now.Add(62 * time.Millisecond))
-	is.Equal(len(c.board.eps), 1)
-	_, last := c.board.eps["99"]
-	is.True(last) // the newest change is told in the end
+	is.Equal(len(c.pub.eps), 1)
+	_, last := c.pub.eps["99"]
+	is.True(last) // the newest change is published in the end
 }
 
-// Symptom: after a change of leader its process ends for want of memory, and entries
-// know no endpoints for 10 s and more.
-// Sequence: 300 entries ask a new leader for all of 3,000 endpoints at once.
-// Cause: each answer was made anew, of 0.8 MB.
+// Guards against a new leader that encodes the whole list for each entry: 300 entries
+// request 3,000 endpoints at once, each answer takes 0.8 MB, the leader's process runs out of
+// memory, and entries know no endpoints for 10 s and more.
 func TestWholeListOfManyEndpointsIsPackedOnce(t *testing.T) {
 	is := is.New(t)
-	b := newBoard(0)
-	b.lead(7)
+	pub := newPublisher(0)
+	pub.startLeading(7)
 	r := rand.New(rand.NewPCG(1, 2))
 	var eps []fleet.Endpoint
 	for i := range 3000 {
@@ -382,74 +379,72 @@
 		}
 		eps = append(eps, ep)
 	}
-	b.endpoints(1, eps)
+	pub.publishAll(1, eps)
 	plain, err := json.Marshal(eps)
 	is.NoErr(err)
-	first, _, _ := b.answer(wire.PullParams{})
+	first, _, _ := pub.answer(wire.PullParams{})
 	is.True(first.Endpoints == nil && !first.Delta)
 	is.True(len(first.Packed) < len(plain)/6)
-	second, _, _ := b.answer(wire.PullParams{})
-	is.True(&first.Packed[0] == &second.Packed[0]) // made once
+	second, _, _ := pub.answer(wire.PullParams{})
+	is.True(&first.Packed[0] == &second.Packed[0]) // encoded once
 	var got []fleet.Endpoint
 	is.NoErr(wire.Unpack(first.Packed, &got))
 	is.Equal(len(got), len(eps))
-	b.endpoints(2, eps[1:])
-	delta, _, _ := b.answer(wire.PullParams{Term: 7, Rev: 1})
+	pub.publishAll(2, eps[1:])
+	delta, _, _ := pub.answer(wire.PullParams{Term: 7, Rev: 1})
 	is.True(delta.Delta && delta.Packed == nil)
-	third, _, _ := b.answer(wire.PullParams{})
+	third, _, _ := pub.answer(wire.PullParams{})
 	got = nil
 	is.NoErr(wire.Unpack(third.Packed, &got))
 	is.Equal(len(got), len(eps)-1)                                        // the newest list
-	is.True(wire.Unpack(third.Packed[:len(third.Packed)/2], &got) != nil) // a cut one is noticed
+	is.True(wire.Unpack(third.Packed[:len(third.Packed)/2], &got) != nil) // a truncated one is detected
 }
 
-// Symptom: leaders change every 2 s while a large deployment starts.
-// Sequence: 300 entries lack a large change in the same moment.
-// Cause: it was told to all of them at once, and heartbeats waited behind it.
+// Guards against a large change that is sent to 300 entries at the same moment: heartbeats
+// queue behind it, and leaders change every 2 s while a large deployment starts.
 func TestLargeNewsIsSpacedOut(t *testing.T) {
 	is := is.New(t)
 	c := New(Config{Fleet: &testFleet{}, Plan: fleet.DefaultConfig(), Log: zerolog.Nop(), TellRate: 100_000})
 	large := wire.PullResult{Packed: make([]byte, 10_000)}
 	begin := time.Now()
-	var told atomic.Int64
+	var sent atomic.Int64
 	var entries sync.WaitGroup
 	for i := range 50 {
 		entries.Go(func() {
-			r, err := c.spaced(context.Background(), ident.HostID(fmt.Sprint("entry-", i)), large)
+			r, err := c.pace(context.Background(), ident.HostID(fmt.Sprint("entry-", i)), large)
 			if err != nil {
 				t.Error(err)
 			}
-			told.Add(int64(len(r.Packed)))
+			sent.Add(int64(len(r.Packed)))
 		})
 	}
 	entries.Wait()
-	is.True(time.Since(begin) < 2*newsWait) // nobody waits for long
-	is.True(told.Load() > 0)
-	is.True(told.Load() <= 50_000) // a third of a second's worth; the others ask again
-	small, err := c.spaced(context.Background(), "entry-0", wire.PullResult{Packed: make([]byte, 100)})
+	is.True(time.Since(begin) < 2*maxSendWait) // no entry waits for long
+	is.True(sent.Load() > 0)
+	is.True(sent.Load() <= 50_000) // about what the link sends in a third of a second; the other entries call again
+	small, err := c.pace(context.Background(), "entry-0", wire.PullResult{Packed: make([]byte, 100)})
 	is.NoErr(err)
-	is.Equal(len(small.Packed), 100) // and small changes pass
+	is.Equal(len(small.Packed), 100) // small answers are not paced
 }
 
-// Symptom: entries send to endpoints that left 4 s ago.
-// Sequence: one read of a short list is slow; the leader dies right after it.
-// Cause: the slow read was taken for the usual one, and entries waited for the next.
-func TestSlowReadOfAShortListIsNotUsual(t *testing.T) {
+// Guards against a single slow read of a short list that counts as typical: if the leader
+// fails right after it, entries wait for the next read and send to endpoints that left 4 s
+// ago.
+func TestSlowReadOfAShortListIsNotTypical(t *testing.T) {
 	is := is.New(t)
-	is.Equal(usualAge(1, 900*time.Millisecond), listEvery)
-	is.True(usualAge(2, 900*time.Millisecond) <= listEvery+2*listCallPace)
-	is.Equal(usualAge(60, 2*time.Second), listEvery+4*time.Second) // a long list at its pace
+	is.Equal(typicalListAge(1, 900*time.Millisecond), listInterval)
+	is.True(typicalListAge(2, 900*time.Millisecond) <= listInterval+2*listCallTime)
+	is.Equal(typicalListAge(60, 2*time.Second), listInterval+4*time.Second) // a long list at the paced rate
 }
 
-// Symptom: no order is given for 1.2 s though a request waits and the leader leads.
-// Sequence: the process stands still for 0.6 s in the middle of a plan.
-// Cause: the pause after a plan followed the time that it took, without a bound.
+// Guards against an unbounded pause after a plan: the process is suspended for 0.6 s during a
+// plan, and no order is sent for 1.2 s though a request waits and the host leads.
 func TestPauseAfterASlowPlanIsBounded(t *testing.T) {
 	is := is.New(t)
 	c := New(Config{Fleet: &testFleet{}, Plan: fleet.DefaultConfig(), Log: zerolog.Nop()})
-	is.Equal(c.pause(), actPause)
-	c.cost = 8 * time.Millisecond
+	is.Equal(c.pause(), minPlanPause)
+	c.stepTime = 8 * time.Millisecond
 	is.Equal(c.pause(), 72*time.Millisecond) // plans take a tenth of the time
-	c.cost = 600 * time.Millisecond
-	is.Equal(c.pause(), mostPause)
+	c.stepTime = 600 * time.Millisecond
+	is.Equal(c.pause(), maxPlanPause)
 }
--- a/internal/app/controller/metrics.go
+++ b/internal/app/controller/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/cassiapass/cassiapass/internal/core/fleet"
 )
 
-// metrics are the measurements of one controller.
+// metrics holds the metrics of one controller.
 type metrics struct{ set *vm.Set }
 
 func newMetrics(set *vm.Set) *metrics {
@@ -19,28 +19,28 @@
 	return &metrics{set}
 }
 
-// ordered counts an order by how the engine answered.
-func (m *metrics) ordered(o fleet.Order, a fleet.Answer) {
+// countOrder counts an order by operation and answer.
+func (m *metrics) countOrder(o fleet.Order, a fleet.Answer) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`cassiapass_fleet_orders_total{op=%q,answer=%q}`, o.Op, a)).Inc()
 }
 
-// unreadable counts entries of the list that could not be used.
-func (m *metrics) unreadable(n int) {
+// countUnreadable counts entries of the platform's list that could not be read.
+func (m *metrics) countUnreadable(n int) {
 	m.set.GetOrCreateCounter("cassiapass_fleet_list_unreadable_total").Add(n)
 }
 
-// planned counts a plan and how long it took.
-func (m *metrics) planned(took time.Duration) {
+// observePlan records the duration of a plan.
+func (m *metrics) observePlan(took time.Duration) {
 	m.set.GetOrCreateHistogram("cassiapass_fleet_plan_seconds").Update(took.Seconds())
 }
 
-// quarantined counts a request that is not run any more.
-func (m *metrics) quarantined() {
+// countQuarantined counts a request that was quarantined.
+func (m *metrics) countQuarantined() {
 	m.set.GetOrCreateCounter("cassiapass_fleet_requests_quarantined_total").Inc()
 }
 
-// settled counts loads of weights by source, and how long they took.
-func (m *metrics) settled(s fleet.Settled) {
+// observeLoad counts loads of base models by source and records their duration.
+func (m *metrics) observeLoad(s fleet.Settled) {
 	if s.Op != fleet.Load || s.Want.Adapter != "" {
 		return
 	}
--- a/internal/app/controller/turns_test.go
+++ b/internal/app/controller/pacing_test.go
@@ -10,34 +10,34 @@
 	"github.com/cassiapass/cassiapass/internal/core/ident"
 )
 
-// Guards against an entry that is told no new deployment for seconds, as others take the
-// leader's link again and again while changes come in quick succession.
+// Guards against an entry that gets no new deployment for seconds because other entries
+// take all slots on the leader's link while deployments follow each other quickly.
 func TestEveryEntryGetsItsTurnOnTheLeadersLink(t *testing.T) {
 	is := is.New(t)
 	const (
 		entries = 100
 		size    = 100_000 // bytes of a deployment: all entries together take 2 s
-		pause   = newsWait
+		pause   = maxSendWait
 	)
-	b := newBoard(5e6)
+	pub := newPublisher(5e6)
 	begin := time.Unix(1000, 0)
 	version := func(now time.Time) int { return int(now.Sub(begin) / (800 * time.Millisecond)) }
 	held := make([]int, entries)
-	told := make([]time.Time, entries)
-	for i := range told {
-		held[i], told[i] = -1, begin
+	sentAt := make([]time.Time, entries)
+	for i := range sentAt {
+		held[i], sentAt[i] = -1, begin
 	}
 	longest := time.Duration(0)
 	for now := begin; now.Sub(begin) < 8*time.Second; now = now.Add(pause) {
 		for i := range entries {
 			if held[i] == version(now) {
-				told[i] = now
+				sentAt[i] = now
 				continue
 			}
-			if wait, ok := b.book(now, ident.HostID(fmt.Sprint(i)), size); ok {
-				held[i], told[i] = version(now), now.Add(wait)
+			if wait, ok := pub.reserve(now, ident.HostID(fmt.Sprint(i)), size); ok {
+				held[i], sentAt[i] = version(now), now.Add(wait)
 			}
-			longest = max(longest, now.Sub(told[i]))
+			longest = max(longest, now.Sub(sentAt[i]))
 		}
 	}
 	is.True(longest < 3*time.Second)
--- a/internal/app/controller/publish.go
+++ b/internal/app/controller/publish.go
@@ -3,55 +3,57 @@
 import "time"
 
 const (
-	// publishPerEntry is the least time between two announcements of changes to all, for
-	// each entry that is told: every change wakes every entry's pull, and its answer costs
-	// a third of a millisecond and some kB. Entries that wait for a change are told at once.
+	// publishPerEntry, multiplied by the number of entries, is the minimum time between
+	// two publications to all entries: each one ends the pull of every entry, and an answer
+	// costs a third of a millisecond and some kB. Entries that wait for a change get it
+	// earlier.
 	publishPerEntry = 2 * time.Millisecond
-	// publishAwaited is the least time between announcements to those that wait for them.
-	publishAwaited = 10 * time.Millisecond
-	// etaEvery is the time between looks at when models will be held: a caller who
-	// learns that its model cannot come in time waits for at most this much longer.
-	etaEvery = 40 * time.Millisecond
-	// entryStays is how long an entry counts after it was last heard.
-	entryStays = 3 * time.Second
+	// awaitedInterval is the minimum time between publications to waiting entries alone.
+	awaitedInterval = 10 * time.Millisecond
+	// etaInterval is the interval at which the ETAs of models are updated. It bounds the
+	// additional wait of a caller whose model cannot be ready in time.
+	etaInterval = 40 * time.Millisecond
+	// entryTimeout is the time without a pull after which an entry is dropped.
+	entryTimeout = 3 * time.Second
 )
 
-// publish shows entries what changed: to those that wait for it soon, to all in their turn.
+// publish makes changes visible to entries: soon to those that wait for them, less often
+// to all.
 func (c *Controller) publish(now time.Time) {
-	c.forgetSilent(now)
-	c.board.running(c.planner.Loads(), len(c.entries))
-	c.estimate(now)
-	if now.Sub(c.docket.told) >= publishPerEntry*time.Duration(len(c.entries)) {
-		c.tellSuspects(now)
+	c.dropSilentEntries(now)
+	c.pub.setRunning(c.planner.Loads(), len(c.entries))
+	c.publishETAs(now)
+	if now.Sub(c.suspects.publishedAt) >= publishPerEntry*time.Duration(len(c.entries)) {
+		c.publishSuspects(now)
 	}
-	c.news = c.planner.Changed() || c.news
+	c.unpublished = c.planner.Changed() || c.unpublished
 	switch {
-	case !c.news || !c.listOK:
-	case now.Sub(c.told) >= publishPerEntry*time.Duration(len(c.entries)):
-		c.planner.Awaited() // who waits is told with all
-		c.news, c.told, c.toldSome = false, now, now
+	case !c.unpublished || !c.listOK:
+	case now.Sub(c.publishedAll) >= publishPerEntry*time.Duration(len(c.entries)):
+		c.planner.Awaited() // the waiting entries are among all
+		c.unpublished, c.publishedAll, c.publishedAny = false, now, now
 		c.rev++
-		c.board.endpoints(c.rev, c.planner.Endpoints())
-	case now.Sub(c.toldSome) >= publishAwaited:
-		c.tellAwaited(now)
+		c.pub.publishAll(c.rev, c.planner.Endpoints())
+	case now.Sub(c.publishedAny) >= awaitedInterval:
+		c.publishAwaited(now)
 	}
 }
 
-// tellAwaited shows the present state to the entries that wait for something in it.
-func (c *Controller) tellAwaited(now time.Time) {
+// publishAwaited publishes the present state to the entries that wait for something in it.
+func (c *Controller) publishAwaited(now time.Time) {
 	entries := c.planner.Awaited()
 	if len(entries) == 0 {
 		return
 	}
-	c.toldSome = now
+	c.publishedAny = now
 	c.rev++
-	c.board.endpointsTo(entries, c.rev, c.planner.Endpoints())
+	c.pub.publishTo(entries, c.rev, c.planner.Endpoints())
 }
 
-// forgetSilent drops what entries told that were not heard for long.
-func (c *Controller) forgetSilent(now time.Time) {
+// dropSilentEntries drops entries that have been silent for too long, and their reports.
+func (c *Controller) dropSilentEntries(now time.Time) {
 	for h, at := range c.entries {
-		if now.Sub(at) > entryStays {
+		if now.Sub(at) > entryTimeout {
 			delete(c.entries, h)
 			c.planner.Forget(h)
 			c.cfg.Log.Warn().Str("entry", h).Msg("entry_silent")
@@ -59,12 +61,12 @@
 	}
 }
 
-// estimate shows entries when models that no engine holds will be held.
-func (c *Controller) estimate(now time.Time) {
-	if now.Sub(c.estimated) < etaEvery {
+// publishETAs publishes when models that no engine holds are expected to be loaded.
+func (c *Controller) publishETAs(now time.Time) {
+	if now.Sub(c.etasUpdated) < etaInterval {
 		return
 	}
-	c.estimated = now
+	c.etasUpdated = now
 	changed := c.etas.Take(now, c.planner.ETAs(now))
 	if len(changed) == 0 {
 		return
@@ -75,6 +77,6 @@
 		}
 	}
 	c.planner.NoteETAs(changed)
-	c.board.setETAs(now, c.rev+1, changed)
-	c.news = true
+	c.pub.setETAs(now, c.rev+1, changed)
+	c.unpublished = true
 }
--- a/internal/app/controller/awaited_test.go
+++ b/internal/app/controller/publisher_test.go
@@ -12,21 +12,21 @@
 	"github.com/cassiapass/cassiapass/internal/wire"
 )
 
-// told reports whether an entry that holds a revision is told of the present state now.
-func told(c *Controller, entry string, rev uint64) bool {
-	_, lacks, _ := c.board.answer(wire.PullParams{Host: ident.HostID(entry), Term: 3, Rev: rev, Version: 9})
-	return lacks
+// behind reports whether an entry that holds a revision is sent the present state now.
+func behind(c *Controller, entry string, rev uint64) bool {
+	_, missing, _ := c.pub.answer(wire.PullParams{Host: ident.HostID(entry), Term: 3, Rev: rev, Version: 9})
+	return missing
 }
 
-// Symptom: a cold start before 105 entries waits for 0.1 s after its model is loaded, and
-// the leader spends a quarter of its time on telling all entries of each load.
-// Sequence: an entry waits for a model; the model is loaded a moment after all entries were
-// told of something else.
+// Guards against a delay of 0.1 s for a cold start with 105 entries after its model is
+// loaded, and against a leader that spends a quarter of its time publishing each load to all
+// entries. An entry waits for a model, which is loaded just after a publication of something
+// else to all entries.
 func TestEntryThatWaitsIsToldBeforeAllOthers(t *testing.T) {
 	is := is.New(t)
 	c := idle(leading(3), &testFleet{})
 	now := time.Unix(1e6, 0)
-	c.begin(now, 3)
+	c.beginTerm(now, 3)
 	c.listOK = true
 	c.planner.SetDeployment(&deploy.Config{Services: map[string]*deploy.Service{"llm": {Name: "llm", Engine: &deploy.Engine{
 		Slots: 8, Weights: 83000, AdapterPlaces: 2, Models: map[string]*deploy.Model{"m": {Name: "m", Megabytes: 20000, FromDisk: 50 * time.Millisecond}}}}}})
@@ -37,16 +37,16 @@
 		c.entries[string(rune('A'+i))] = now.Add(time.Hour)
 	}
 	c.planner.List(now, now, []fleet.Endpoint{{ID: "e0", Service: "llm", Slots: 8, Copies: fleet.Copies{Disk: []string{"m"}}}})
-	for range 2 { // the first report is not believed yet
+	for range 2 { // the first report is not trusted yet
 		now = now.Add(300 * time.Millisecond)
 		c.planner.Plan(now)
 		c.planner.Reported(now, "e0", fleet.Report{Copies: fleet.Copies{Disk: []string{"m"}}})
 	}
 	c.publish(now)
-	is.True(told(c, "waits", 0) && told(c, "other", 0))
+	is.True(behind(c, "waits", 0) && behind(c, "other", 0))
 	first := c.rev
 
-	_, _, news := c.board.answer(wire.PullParams{Host: "waits", Term: 3, Rev: first, Version: 9})
+	_, _, wake := c.pub.answer(wire.PullParams{Host: "waits", Term: 3, Rev: first, Version: 9})
 	c.planner.Hear(now, "waits", []fleet.Demand{{Want: fleet.Want{Model: "m"}, Arrived: 1, Waiting: 1, Earliest: time.Second}}, nil)
 	w := c.planner.Plan(now)
 	is.Equal(len(w.Orders), 1)
@@ -56,32 +56,32 @@
 	c.publish(now)
 
 	select {
-	case <-news.own:
+	case <-wake.own:
 	default:
 		t.Fatal("the entry that waits was not woken")
 	}
-	is.True(told(c, "waits", first))
-	is.True(!told(c, "other", first))
+	is.True(behind(c, "waits", first))
+	is.True(!behind(c, "other", first))
 	c.publish(now.Add(time.Second))
-	is.True(told(c, "other", first)) // in its turn
-	is.True(!told(c, "waits", c.rev))
+	is.True(behind(c, "other", first)) // with all entries
+	is.True(!behind(c, "waits", c.rev))
 }
 
-// Symptom: an entry that fell behind is told nothing any more.
-// Sequence: it holds the state that only those who waited were told; all are told the next.
-func TestEntryThatWasToldBeforeOthersIsToldWhatComesLater(t *testing.T) {
+// Guards against an entry that receives no more updates after it was sent a revision that
+// was published to waiting entries alone; the next revision is published to all.
+func TestEntryUpdatedAheadOfOthersGetsLaterUpdates(t *testing.T) {
 	is := is.New(t)
-	b := newBoard(0)
-	b.lead(3)
-	b.endpoints(1, nil)
-	b.endpointsTo([]string{"waits"}, 2, []fleet.Endpoint{{ID: "a"}})
-	r, lacks, _ := b.answer(wire.PullParams{Host: "waits", Term: 3, Rev: 1})
-	is.True(lacks)
+	pub := newPublisher(0)
+	pub.startLeading(3)
+	pub.publishAll(1, nil)
+	pub.publishTo([]string{"waits"}, 2, []fleet.Endpoint{{ID: "a"}})
+	r, missing, _ := pub.answer(wire.PullParams{Host: "waits", Term: 3, Rev: 1})
+	is.True(missing)
 	is.Equal(len(*r.Endpoints), 1)
-	b.endpoints(3, []fleet.Endpoint{{ID: "a"}, {ID: "b"}})
+	pub.publishAll(3, []fleet.Endpoint{{ID: "a"}, {ID: "b"}})
 	for host, rev := range map[ident.HostID]uint64{"waits": 2, "other": 1} {
-		r, lacks, _ = b.answer(wire.PullParams{Host: host, Term: 3, Rev: rev})
-		is.True(lacks)
+		r, missing, _ = pub.answer(wire.PullParams{Host: host, Term: 3, Rev: rev})
+		is.True(missing)
 		is.Equal(len(*r.Endpoints), int(3-rev))
 	}
 }
--- a/internal/app/controller/suspects.go
+++ b/internal/app/controller/suspects.go
@@ -10,83 +10,86 @@
 	"github.com/cassiapass/cassiapass/internal/wire"
 )
 
-// sweepEvery is how often it is looked for quarantines that are over.
-const sweepEvery = time.Second
+// sweepInterval is the interval between checks for quarantines that have ended.
+const sweepInterval = time.Second
 
-// docket is what this leader knows of requests under which endpoints ended.
-type docket struct {
+// suspectState is what this leader knows of requests under which endpoints ended.
+type suspectState struct {
 	*poison.Docket
-	reg    poison.Registry // as the log has it
-	rev    uint64          // of what entries are told
-	news   bool            // entries have not been told of all
-	due    bool            // the log may differ from what is known here
-	noting bool            // a note is under way
-	tried  time.Time
-	told   time.Time // when entries were told last
-	swept  time.Time // when what is over was looked for last
+	reg         poison.Registry // as committed to the log
+	rev         uint64          // last published revision
+	unpublished bool            // some changes are not published yet
+	due         bool            // the log may differ from the state here
+	committing  bool            // a commit is in progress
+	attemptedAt time.Time       // start of the last attempt to commit
+	publishedAt time.Time       // last publication to entries
+	sweptAt     time.Time       // last check for quarantines that have ended
 }
 
-// beginDocket takes up what the log says. What else the leader before knew, entries tell.
-func (c *Controller) beginDocket(now time.Time) {
-	reg := c.lead.Poison()
-	c.docket = docket{Docket: poison.NewDocket(now, reg), reg: reg, news: true, due: true}
+// beginSuspects starts from the registry in the log. What the previous leader knew beyond it
+// comes from the reports of entries.
+func (c *Controller) beginSuspects(now time.Time) {
+	reg := c.host.Poison()
+	c.suspects = suspectState{Docket: poison.NewDocket(now, reg), reg: reg, unpublished: true, due: true}
 }
 
-// hearEnds takes in what an entry saw of requests under which endpoints ended.
-func (c *Controller) hearEnds(now time.Time, host ident.HostID, ends []poison.End, answered []poison.Fingerprint) {
+// recordEnds applies an entry's report of requests under which endpoints ended, and of suspect
+// requests that ran without ending one.
+func (c *Controller) recordEnds(now time.Time, host ident.HostID, ends []poison.End, answered []poison.Fingerprint) {
 	if c.term == 0 {
 		return
 	}
-	d, urgent := &c.docket, false
+	d, urgent := &c.suspects, false
 	for _, f := range answered {
 		was := d.Standing(now, f)
 		if d.Clear(now, f) {
-			d.news, d.due, urgent = true, d.due || was.Quarantined, urgent || was.Quarantined
+			d.unpublished, d.due, urgent = true, d.due || was.Quarantined, urgent || was.Quarantined
 			c.cfg.Log.Info().Stringer("fingerprint", f).Str("entry", string(host)).Int("ends", was.Ends).Bool("quarantined", was.Quarantined).Msg("request_cleared")
 		}
 	}
 	for _, e := range ends {
-		news, quarantined := d.Ended(now, e)
-		if !news {
+		isNew, quarantined := d.Ended(now, e)
+		if !isNew {
 			continue
 		}
 		st := d.Standing(now, e.Request)
-		d.news, d.due, urgent = true, d.due || quarantined, urgent || st.Ends > 1
+		d.unpublished, d.due, urgent = true, d.due || quarantined, urgent || st.Ends > 1
 		c.cfg.Log.Info().Stringer("fingerprint", e.Request).Str("endpoint", e.Start).Str("entry", string(host)).Int("ends", st.Ends).Msg("endpoint_ended_under_request")
 		if quarantined {
-			c.met.quarantined()
+			c.met.countQuarantined()
 			c.cfg.Log.Warn().Stringer("fingerprint", e.Request).Strs("endpoints", d.StartsOf(e.Request)).Msg("request_quarantined")
 		}
 	}
 	if urgent {
-		c.tellSuspects(now)
+		c.publishSuspects(now)
 	}
 }
 
-// tellSuspects shows entries the requests under which endpoints ended. Whoever came under
-// one end only is told in its turn; a quarantine and what is one end short of it at once, as
-// the next run takes an endpoint with all that runs there.
-func (c *Controller) tellSuspects(now time.Time) {
-	d := &c.docket
-	if !d.news || len(d.reg.Key) == 0 {
+// publishSuspects publishes the requests under which endpoints ended. Callers do so at once when
+// a quarantine is set or lifted and for a request one end short of it, as the next run may
+// end another endpoint with all requests there. A request under which one endpoint ended
+// waits for the next regular publication.
+func (c *Controller) publishSuspects(now time.Time) {
+	d := &c.suspects
+	if !d.unpublished || len(d.reg.Key) == 0 {
 		return
 	}
-	d.news, d.told = false, now
+	d.unpublished, d.publishedAt = false, now
 	d.rev++
-	c.board.suspect(wire.Suspects{Mark: wire.SuspectMark{Term: c.term, Rev: d.rev}, Key: d.reg.Key, Told: d.Tell(now)})
+	c.pub.publishSuspects(wire.Suspects{Mark: wire.SuspectMark{Term: c.term, Rev: d.rev}, Key: d.reg.Key, Told: d.Tell(now)})
 }
 
-// keepDocket notes in the log what is quarantined, so that it outlives every process, and
-// the key with which all entries name requests.
-func (c *Controller) keepDocket(now time.Time) {
-	d := &c.docket
-	if now.Sub(d.swept) >= sweepEvery {
-		d.swept = now
+// commitDueQuarantines commits to the log the quarantines, which then survive a restart of all
+// processes, and the key from which all entries compute fingerprints of requests.
+func (c *Controller) commitDueQuarantines(now time.Time) {
+	d := &c.suspects
+	if now.Sub(d.sweptAt) >= sweepInterval {
+		d.sweptAt = now
 		if len(d.Sweep(now)) > 0 {
-			d.news, d.due = true, true
+			d.unpublished, d.due = true, true
 		}
 	}
-	if !d.due || d.noting || now.Sub(d.tried) < noteAgain {
+	if !d.due || d.committing || now.Sub(d.attemptedAt) < commitRetryPause {
 		return
 	}
 	n, due := d.Due(d.reg)
@@ -98,14 +101,14 @@
 	if !due {
 		return
 	}
-	d.noting, d.tried = true, now
-	go c.notePoison(c.term, n)
+	d.committing, d.attemptedAt = true, now
+	go c.commitQuarantines(c.term, n)
 }
 
-func (c *Controller) notePoison(term uint64, n poison.Note) {
-	ctx, cancel := context.WithTimeout(c.ctx, noteTimeout)
+func (c *Controller) commitQuarantines(term uint64, n poison.Note) {
+	ctx, cancel := context.WithTimeout(c.ctx, commitTimeout)
 	defer cancel()
-	err := c.lead.NotePoison(ctx, n)
+	err := c.host.NotePoison(ctx, n)
 	if err != nil {
 		c.cfg.Log.Warn().Uint64("term", term).Int("quarantined", len(n.Add)).Int("lifted", len(n.Lift)).Err(err).Msg("quarantine_not_noted")
 	}
@@ -113,33 +116,33 @@
 		if c.term != term {
 			return
 		}
-		c.docket.noting = false
-		c.takeRegistry(now, c.lead.Poison())
+		c.suspects.committing = false
+		c.applyRegistry(now, c.host.Poison())
 	})
 }
 
-// Quarantined takes in that the quarantined requests changed on this host: an operator may
-// have lifted one. It does not block: the caller is the loop of the control host, which the
-// loop here waits for now and then.
+// Quarantined applies a change of the quarantined requests on this host: an operator may have
+// lifted a quarantine. It does not block: the caller is the loop of the control host, for
+// which the loop here sometimes waits.
 func (c *Controller) Quarantined(poison.Registry) {
 	go c.post(func(now time.Time) {
 		if c.term != 0 {
-			c.takeRegistry(now, c.lead.Poison()) // the newest, whichever change this is
+			c.applyRegistry(now, c.host.Poison()) // the newest, which may be later than this change
 		}
 	})
 }
 
-// takeRegistry takes in what the log says. A quarantine that it held and holds no more was
+// applyRegistry applies the registry in the log. A quarantine that has disappeared from it was
 // lifted.
-func (c *Controller) takeRegistry(now time.Time, reg poison.Registry) {
-	d := &c.docket
-	d.news = d.news || len(d.reg.Key) == 0
+func (c *Controller) applyRegistry(now time.Time, reg poison.Registry) {
+	d := &c.suspects
+	d.unpublished = d.unpublished || len(d.reg.Key) == 0
 	for _, old := range d.reg.Cases {
 		if !reg.Has(old.Request) && d.Standing(now, old.Request).Quarantined && d.Clear(now, old.Request) {
-			d.news = true
+			d.unpublished = true
 			c.cfg.Log.Info().Stringer("fingerprint", old.Request).Msg("request_lifted")
 		}
 	}
 	d.reg = reg
-	c.tellSuspects(now)
+	c.publishSuspects(now)
 }
