--- a/internal/wire/pack.go
+++ b/internal/wire/pack.go
@@ -8,15 +8,16 @@
 	"io"
 )
 
-// maxUnpacked bounds what is unpacked: 1,100 endpoints take 0.3 MB.
-const maxUnpacked = 64 << 20
+// maxDecompressed bounds the size in bytes of a decompressed value: 1,100 endpoints take
+// 0.3 MB.
+const maxDecompressed = 64 << 20
 
-// errTooLong tells that a packed value is larger than any that is told.
-var errTooLong = errors.New("the packed value is too long")
+// errTooLarge means that a value is larger than any that Pack is used for.
+var errTooLarge = errors.New("the decompressed value is too large")
 
-// Pack returns a compressed value. What entries are told repeats itself: 3,000
-// endpoints take 0.8 MB as JSON and a ninth of that packed, a deployment of 50 kB a
-// tenth.
+// Pack returns a value as compressed JSON. It fails if the value cannot be encoded.
+// What entries receive is repetitive: 3,000 endpoints take 0.8 MB as JSON and a ninth of
+// that compressed, and a deployment of 50 kB takes a tenth.
 func Pack(v any) ([]byte, error) {
 	var b bytes.Buffer
 	z := gzip.NewWriter(&b)
@@ -29,18 +30,19 @@
 	return b.Bytes(), nil
 }
 
-// Unpack reads what Pack returned.
+// Unpack decodes what Pack returned. It fails on malformed data and on values that are too
+// large.
 func Unpack(packed []byte, into any) error {
 	z, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return err
 	}
-	raw, err := io.ReadAll(io.LimitReader(z, maxUnpacked+1))
+	raw, err := io.ReadAll(io.LimitReader(z, maxDecompressed+1))
 	if err != nil {
 		return err
 	}
-	if len(raw) > maxUnpacked {
-		return errTooLong
+	if len(raw) > maxDecompressed {
+		return errTooLarge
 	}
 	return json.Unmarshal(raw, into)
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire holds the typed messages between the system's own processes.
-// They travel as JSON-RPC 2.0 calls and notifications; the methods are listed
-// here beside their parameter and result types.
+// Package wire defines the messages between the system's own processes. They are
+// sent as JSON-RPC 2.0 calls and notifications; the methods are listed here with
+// their parameter and result types.
 package wire
 
 import (
@@ -33,10 +33,10 @@
 	MethodMember     = "member"     // MemberParams -> MemberResult
 	MethodJoin       = "join"       // JoinParams -> JoinResult; the leader decides when to admit
 	MethodGreet      = "greet"      // Greeting -> Greeting
-	MethodDeployment = "deployment" // -> state.Deployment; the leader tells it to a host whose copy is behind
-	MethodPull       = "pull"       // PullParams -> PullResult; the leader holds it until something changed
-	MethodTell       = "tell"       // TellParams -> nothing; what waits and runs at an entry
-	MethodAllowance  = "allowance"  // AllowanceParams -> AllowanceResult; what customers used at an entry, and what they may
+	MethodDeployment = "deployment" // -> state.Deployment; the leader answers a host whose copy is behind
+	MethodPull       = "pull"       // PullParams -> PullResult; the leader holds the call until something changes
+	MethodTell       = "tell"       // TellParams -> no result; waiting and running requests at an entry
+	MethodAllowance  = "allowance"  // AllowanceParams -> AllowanceResult; customers' use at an entry, and their shares of allowances there
 	MethodCommit     = "commit"     // command on behalf of a subscriber -> state.Result
 )
 
@@ -78,8 +78,8 @@
 	From    ident.Position `json:"from"`
 }
 
-// SubscribeResult answers a subscription: either Changes after From follow, or
-// a full copy when From is too far back.
+// SubscribeResult answers a subscription: Changes after From follow, or a full
+// copy if From is too old.
 type SubscribeResult struct {
 	To    ident.Position `json:"to"`
 	Reset bool           `json:"reset,omitempty"`
@@ -95,7 +95,7 @@
 	Changes []state.Change `json:"changes,omitempty"`
 }
 
-// Beat is a subscriber's sign of life. It carries the index in force there.
+// Beat is a subscriber's heartbeat. It carries the index in force there.
 type Beat struct {
 	Process Process           `json:"process"`
 	Index   ident.Index       `json:"index"`
@@ -106,23 +106,22 @@
 // BeatResult answers a beat.
 type BeatResult struct {
 	Index   ident.Index `json:"index"`             // every change up to here was sent on this connection before
-	Entries int         `json:"entries"`           // live entries, for sharing sold rates
+	Entries int         `json:"entries"`           // live entries, by which sold rates are divided
 	Unknown bool        `json:"unknown,omitempty"` // not subscribed on this connection
 }
 
-// Sessions tells the leader which processes a control host has heard.
+// Sessions reports to the leader the processes that sent heartbeats to a control host.
 type Sessions struct {
 	From  consensus.NodeID `json:"from"`
 	Beats []Beat           `json:"beats"`
 }
 
-// SessionsResult answers Sessions with what the control host passes on to its
-// subscribers.
+// SessionsResult answers Sessions. The control host forwards it to its subscribers.
 type SessionsResult struct {
 	Entries int `json:"entries"`
 }
 
-// DemandParams tells control what waits at an entry.
+// DemandParams reports the waiting requests of an entry to control.
 type DemandParams struct {
 	Demands []DemandIn `json:"demands"`
 }
@@ -162,7 +161,7 @@
 type RunParams struct {
 	Attempt     ident.Attempt   `json:"attempt"`
 	Entry       ident.HostID    `json:"entry"`
-	Agent       ident.HostID    `json:"agent"` // whom the entry means; another host at the address refuses
+	Agent       ident.HostID    `json:"agent"` // intended host; another host at the address refuses
 	Config      ident.Position  `json:"config"`
 	Customer    ident.Customer  `json:"customer"`
 	Weight      float64         `json:"weight"`
@@ -177,16 +176,16 @@
 	Claim       *state.ClaimKey `json:"claim,omitempty"`
 	StartWithin time.Duration   `json:"startWithin"`
 	EndWithin   time.Duration   `json:"endWithin"`
-	// SentTo is the incarnation that the first try of this attempt was sent
-	// to, 0 on the first try. A process of another incarnation cannot know
-	// whether its predecessor ran the attempt and must not start it.
+	// SentTo is the incarnation to which this attempt was first sent, or 0 when
+	// it is first sent. A process of another incarnation cannot know whether the
+	// earlier one ran the attempt and must not start it.
 	SentTo ident.Incarnation `json:"sentTo,omitempty"`
 }
 
-// RunState tells what became of an attempt at an agent.
+// RunState is the outcome of an attempt at an agent.
 type RunState string
 
-// The states.
+// The states of attempts.
 const (
 	RunAccepted RunState = "accepted" // queued or running; parts and an end follow
 	RunNotRun   RunState = "not_run"  // refused; it did not run and never will
@@ -200,25 +199,25 @@
 	RetryAfter  time.Duration     `json:"retryAfter,omitempty"`
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Load        routing.Load      `json:"load"`
-	// Records is what the entry lacks when it was refused for an old
-	// configuration index.
+	// Records are the record changes that the entry is missing, if it was refused
+	// for an old configuration index.
 	Records []state.Record `json:"records,omitempty"`
 }
 
-// ResumeParams asks for an answer from an offset on, over this connection.
+// ResumeParams requests the rest of an answer from a byte offset, over this connection.
 type ResumeParams struct {
 	Attempt ident.Attempt `json:"attempt"`
 	Offset  int64         `json:"offset"`
 }
 
-// Ack confirms the bytes below Offset.
+// Ack acknowledges the bytes of an answer below Offset.
 type Ack struct {
 	Attempt ident.Attempt `json:"attempt"`
 	Offset  int64         `json:"offset"`
 }
 
-// CancelParams ends an attempt. An attempt that the agent has not seen is
-// barred: should its Run arrive late, it is refused.
+// CancelParams cancels an attempt. If the agent has not received the attempt yet, it
+// refuses a Run that arrives later.
 type CancelParams struct {
 	Attempt ident.Attempt     `json:"attempt"`
 	SentTo  ident.Incarnation `json:"sentTo"`
@@ -245,8 +244,8 @@
 	State   RunState      `json:"state"` // accepted: the answer is whole
 	Reason  string        `json:"reason,omitempty"`
 	Load    routing.Load  `json:"load"`
-	// Ended names the start of the engine or service that ended while it ran the attempt;
-	// "" if it goes on, or that is not known.
+	// Ended names the incarnation of the engine or service that ended while it ran the
+	// attempt; "" if it did not end, or that is not known.
 	Ended string `json:"ended,omitempty"`
 }
 
@@ -254,10 +253,10 @@
 type MemberParams struct {
 	Member   consensus.Member `json:"member"`
 	Remove   bool             `json:"remove,omitempty"`
-	Transfer bool             `json:"transfer,omitempty"` // hand leadership to Member
+	Transfer bool             `json:"transfer,omitempty"` // transfer leadership to Member
 }
 
-// JoinParams asks to be a member of the control group.
+// JoinParams requests membership of the control group.
 type JoinParams struct {
 	ID        consensus.NodeID `json:"id"`
 	Addr      string           `json:"addr"`
@@ -265,46 +264,47 @@
 	Volatile  bool             `json:"volatile,omitempty"`  // the host has no disk
 }
 
-// Greeting is what control hosts tell each other of themselves and of addresses, in a
-// call and its answer. It decides nothing: see package contact.
+// Greeting is exchanged by control hosts, in a call and its answer, to learn each other's
+// identity and addresses. No decision depends on it: see package contact.
 type Greeting struct {
 	Group  ident.Group      `json:"group"`
 	ID     consensus.NodeID `json:"id"`
 	Addr   string           `json:"addr"`
-	Leader string           `json:"leader,omitempty"` // address of the leader that the sender hears or is
+	Leader string           `json:"leader,omitempty"` // address of the leader that the sender follows or is
 	Known  []string         `json:"known,omitempty"`  // addresses of other control hosts
 }
 
-// PullParams asks the leader what changed for an entry that reaches endpoints
-// directly.
+// PullParams requests the changes since the state that an entry holds. It is sent to the
+// leader by entries that reach endpoints directly.
 type PullParams struct {
 	Host    ident.HostID  `json:"host"`
 	Term    uint64        `json:"term"`              // of the endpoints held
 	Rev     uint64        `json:"rev"`               // of the endpoints held
 	Version uint64        `json:"version"`           // of the deployment held
 	Hold    time.Duration `json:"hold"`              // how long the answer may wait for a change
-	First   bool          `json:"first,omitempty"`   // holds no deployment: the answer must be confirmed by a quorum
-	Leaving bool          `json:"leaving,omitempty"` // it is stopping and takes no new requests
-	Entries int           `json:"entries,omitempty"` // entries that it has heard of, itself included; 0 before a leader told
-	// Suspects is the news of requests under which endpoints ended that is held.
+	First   bool          `json:"first,omitempty"`   // the entry holds no deployment: a quorum must confirm the leader before it answers
+	Leaving bool          `json:"leaving,omitempty"` // the entry is stopping and accepts no new requests
+	Entries int           `json:"entries,omitempty"` // entries that it knows of, including itself; 0 before a leader reported them
+	// Suspects names the state held of requests under which endpoints ended.
 	Suspects SuspectMark `json:"suspects,omitzero"`
 }
 
-// SuspectMark names a state of what the leader tells of requests under which endpoints
-// ended. It is apart from that of the endpoints: a leader tells it before it has read a list.
+// SuspectMark names a published state of the requests under which endpoints ended. It is
+// separate from the revision of the endpoints because a leader publishes it before it has
+// read a list.
 type SuspectMark struct {
 	Term uint64 `json:"term"`
 	Rev  uint64 `json:"rev"`
 }
 
-// Suspects is what the leader tells of requests under which endpoints ended.
+// Suspects is the published state of the requests under which endpoints ended.
 type Suspects struct {
 	Mark SuspectMark   `json:"mark"`
 	Key  poison.Key    `json:"key"`            // of the fingerprints
-	Told []poison.Told `json:"told,omitempty"` // all that is to be known; others are not suspect
+	Told []poison.Told `json:"told,omitempty"` // complete: other requests are not suspect
 }
 
-// PullResult is what changed. Absent parts are unchanged.
+// PullResult answers PullParams with the changes. Absent parts are unchanged.
 type PullResult struct {
 	Leading    bool               `json:"leading"`          // false: ask Leader
 	Leader     string             `json:"leader,omitempty"` // address of the leader, if known
@@ -312,30 +312,30 @@
 	Term       uint64             `json:"term"`
 	Rev        uint64             `json:"rev"`
 	Endpoints  *[]fleet.Endpoint  `json:"endpoints,omitempty"` // all, or with Delta those that changed
-	Packed     []byte             `json:"packed,omitempty"`    // in place of Endpoints, by Pack, where they are many
+	Packed     []byte             `json:"packed,omitempty"`    // replaces Endpoints if there are many; by Pack
 	Delta      bool               `json:"delta,omitempty"`
 	Removed    []fleet.EndpointID `json:"removed,omitempty"`    // with Delta
 	ListAge    time.Duration      `json:"listAge"`              // since the platform's list was read
-	ListUsual  time.Duration      `json:"listUsual"`            // how old it gets in the usual course
-	Running    json.RawMessage    `json:"running,omitempty"`    // requests under way, a map[fleet.EndpointID]int encoded once for all entries
+	ListUsual  time.Duration      `json:"listUsual"`            // age that it typically reaches
+	Running    json.RawMessage    `json:"running,omitempty"`    // requests in progress, a map[fleet.EndpointID]int encoded once for all entries
 	ETAs       []fleet.ETA        `json:"etas,omitempty"`       // all, or with Delta those that changed
 	Deployment []byte             `json:"deployment,omitempty"` // a state.Deployment, by Pack
-	Entries    int                `json:"entries"`              // entries heard lately
+	Entries    int                `json:"entries"`              // live entries
 	Suspects   *Suspects          `json:"suspects,omitempty"`
 }
 
-// TellParams is what waits and runs at an entry.
+// TellParams reports the waiting and running requests of an entry.
 type TellParams struct {
 	Host    ident.HostID   `json:"host"`
 	Demands []fleet.Demand `json:"demands,omitempty"`
 	Uses    []fleet.Use    `json:"uses,omitempty"`
-	// Ends are new ends of endpoints under requests, and Answered requests that ended none,
-	// though they are suspect.
+	// Ends are newly ended endpoints with the requests that they ran, and Answered suspect
+	// requests that ran without ending an endpoint.
 	Ends     []poison.End         `json:"ends,omitempty"`
 	Answered []poison.Fingerprint `json:"answered,omitempty"`
 }
 
-// AllowanceParams is what an entry reports of customers with an allowance.
+// AllowanceParams reports the use of customers with an allowance at an entry.
 type AllowanceParams struct {
 	Host ident.HostID    `json:"host"`
 	Uses []allowance.Use `json:"uses"`
@@ -343,13 +343,13 @@
 
 // AllowanceResult answers AllowanceParams.
 type AllowanceResult struct {
-	Leading bool              `json:"leading"` // false: nothing was taken in, another host leads
+	Leading bool              `json:"leading"` // false: the report was not applied, another host leads
 	Shares  []allowance.Share `json:"shares,omitempty"`
 }
 
-// JoinResult is the membership as the leader knows it. A host that joins needs
-// it to answer the leader, which may have joined long after the membership that
-// the host's own log, or the first snapshot that it gets, tells of.
+// JoinResult is the membership known to the leader. A joining host needs it to
+// answer the leader, which may have joined long after the membership in the
+// host's own log or in the first snapshot that it receives.
 type JoinResult struct {
 	Members []consensus.Member `json:"members"`
 }
@@ -358,7 +358,7 @@
 type MemberResult struct {
 	Done   bool   `json:"done"`
 	Reason string `json:"reason,omitempty"`
-	Behind bool   `json:"behind,omitempty"` // the member changed last must catch up first; ask again
+	Behind bool   `json:"behind,omitempty"` // the member of the last change must catch up first; retry later
 }
 
 // SubscriberStatus is one subscriber as a control host sees it.
@@ -369,11 +369,11 @@
 	Silent  float64     `json:"silentSeconds"`
 }
 
-// InForce tells when a record change was in force at all subscribers of one
+// InForce reports when a record change was in force at all subscribers of one
 // control host.
 type InForce struct {
 	Index   ident.Index `json:"index"`
-	Seconds float64     `json:"seconds"` // after it was committed here
+	Seconds float64     `json:"seconds"` // since it was committed here
 	Slowest Process     `json:"slowest"`
 	Open    int         `json:"open"` // subscribers that have not confirmed it
 }
@@ -387,5 +387,5 @@
 	InForce     []InForce          `json:"inForce"`
 }
 
-// Raw is a parameter that is decoded later.
+// Raw is an encoded parameter that its receiver decodes.
 type Raw = json.RawMessage
