--- a/internal/port/port.go
+++ b/internal/port/port.go
@@ -1,5 +1,5 @@
-// Package port holds the interfaces through which the roles reach the outside
-// world: engines, plain services, the platform's host list and the disk.
+// Package port defines the interfaces to the outside of the system: engines, plain
+// services, the platform's lists of hosts and endpoints, and the disk.
 package port
 
 import (
@@ -15,19 +15,19 @@
 	"github.com/cassiapass/cassiapass/internal/core/placement"
 )
 
-// ErrRefused tells that the other side refused an order and did nothing.
+// ErrRefused means that the other side refused an order and did not carry it out.
 var ErrRefused = errors.New("refused")
 
-// ErrNotSent tells that a request did not leave: no connection came about, so
+// ErrNotSent means that a request was not sent: no connection was established, so
 // the other side cannot have run it.
 var ErrNotSent = errors.New("not sent")
 
-// ErrCrossed tells that an answer carried another request's id.
+// ErrCrossed means that an answer carried the id of another request.
 var ErrCrossed = errors.New("the answer belongs to another request")
 
 // Call is one request to an engine or plain service.
 type Call struct {
-	ID          string // sent along so that answers, resumes and cancels name it
+	ID          string // sent with the request; names it in answers, resumes and cancels
 	Method      string
 	Path        string
 	ContentType string
@@ -44,7 +44,7 @@
 // Backend runs requests: an engine or a plain service.
 type Backend interface {
 	Run(ctx context.Context, c Call) (*Response, error)
-	// Resume goes on with the answer to an earlier call from a byte offset on.
+	// Resume continues the answer to an earlier call from a byte offset.
 	Resume(ctx context.Context, id string, offset int64) (*Response, error)
 	Cancel(ctx context.Context, id string) error
 }
@@ -52,53 +52,53 @@
 // Engine is a model engine.
 type Engine interface {
 	Backend
-	// SetFloor makes the engine refuse orders with a lower fencing number. An
-	// engine that ignores fencing answers without effect.
+	// SetFloor makes the engine refuse orders with a lower fencing token. It has no
+	// effect on an engine that ignores fencing tokens.
 	SetFloor(ctx context.Context, fence ident.Index) error
-	// Order carries out a load or unload and returns when it is done. The
-	// error is ErrRefused if it certainly was not carried out.
+	// Order carries out a load or unload and returns when it is complete. The error
+	// is ErrRefused if the order was certainly not carried out.
 	Order(ctx context.Context, o ledger.Order) error
 	List(ctx context.Context) ([]ledger.Held, error)
 	Cached(ctx context.Context) ([]placement.CachedAt, error)
 }
 
-// HostState is a host's standing in the platform's list.
+// HostState is the state of a host in the platform's list.
 type HostState string
 
-// The states.
+// The states of hosts.
 const (
 	HostLive    HostState = "live"
 	HostLeaving HostState = "leaving"
 )
 
-// Host is one line of the platform's list.
+// Host is one entry of the platform's list.
 type Host struct {
 	ID    ident.HostID `json:"id"`
 	State HostState    `json:"state"`
 }
 
-// HostList is the platform's list of live and leaving hosts. It lags.
+// HostList reads the platform's list of live and leaving hosts, which lags.
 type HostList interface {
 	List(ctx context.Context) ([]Host, error)
 }
 
-// Fleet reaches endpoints that have no agent beside them.
+// Fleet accesses endpoints on hosts without an agent.
 type Fleet interface {
-	// List returns the platform's list of endpoints. It lags.
+	// List returns the platform's list of endpoints, which lags.
 	List(ctx context.Context) (fleet.Listing, error)
-	// Report asks an engine for its state.
+	// Report returns the state of an engine.
 	Report(ctx context.Context, q fleet.Query) (fleet.Report, error)
-	// Order gives an order under a fencing number. The answer is Unsent only
-	// if no byte left.
+	// Order sends an order with a fencing token. The answer is Unsent only if no
+	// byte was sent.
 	Order(ctx context.Context, o fleet.Order, fence uint64) fleet.Answer
 }
 
-// Disk keeps what a control host must not forget.
+// Disk is the durable storage of a control host.
 type Disk interface {
-	// Save appends entries and the hard state and returns after one sync. An
-	// entry at or below the last index replaces the tail from there.
+	// Save appends entries and the hard state and returns after one sync. An entry
+	// at or below the last index replaces the log from that index on.
 	Save(entries []consensus.Entry, hs *consensus.HardState) error
-	// SaveSnapshot makes a snapshot durable and drops what it replaces.
+	// SaveSnapshot makes a snapshot durable and deletes what it replaces.
 	SaveSnapshot(s consensus.Snapshot) error
 	Close() error
 }
