--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -373,7 +373,7 @@
 // control host.
 type InForce struct {
 	Index   ident.Index `json:"index"`
-	Seconds float64     `json:"seconds"` // since it was committed here
+	Seconds float64     `json:"seconds"` // after it was committed here
 	Slowest Process     `json:"slowest"`
 	Open    int         `json:"open"` // subscribers that have not confirmed it
 }
