--- a/internal/app/follow/follow.go
+++ b/internal/app/follow/follow.go
@@ -1,11 +1,11 @@
-// Package follow keeps a process subscribed to the control group: it holds the
-// process's view of records, endpoints and replicas and carries its calls.
+// Package follow keeps a process subscribed to the control group: it maintains the
+// process's view of records, endpoints and replicas and sends its calls.
 //
-// One connection leads to one control host. When it is silent or breaks, the
-// next host is tried, and the subscription goes on from the index reached. A
-// process counts as ready only after it has reached an index that a quorum
-// confirmed to be the newest: after a restart hundreds of changes may have
-// passed it by.
+// A process is connected to one control host at a time. When the connection breaks
+// or is silent, the process connects to the next host and continues the
+// subscription from the index that it has reached. It counts as ready only after it
+// has reached an index that a quorum confirmed to be the newest: a restarted process
+// may have missed hundreds of changes.
 package follow
 
 import (
@@ -27,19 +27,19 @@
 )
 
 const (
-	// BeatEvery is the time between signs of life. Three lost ones make a
-	// subscriber change its control host; five end an agent's lease.
-	BeatEvery   = time.Second
-	silence     = 3 * BeatEvery
-	redialPause = 200 * time.Millisecond
-	freshWait   = 5 * time.Second
+	// BeatInterval is the time between heartbeats. After three lost ones a subscriber
+	// connects to another control host; after five an agent's lease ends.
+	BeatInterval = time.Second
+	silenceLimit = 3 * BeatInterval
+	redialPause  = 200 * time.Millisecond
+	freshTimeout = 5 * time.Second
 )
 
-// ErrDisconnected tells that no control host is connected: the call was not
+// ErrDisconnected means that no control host is connected and the call was not
 // sent.
 var ErrDisconnected = errors.New("no control host is connected")
 
-// Config is what a Follower is made from.
+// Config holds the settings and callbacks of a Follower.
 type Config struct {
 	Process  wire.Process
 	Group    ident.Group
@@ -47,15 +47,15 @@
 	Security rpc.Security
 	Count    *rpc.Counter
 	Log      zerolog.Logger
-	// Report returns what the next beat tells of the endpoint; nil for
-	// entries. Reported tells whether it arrived.
+	// Report returns the endpoint's report for the next heartbeat; nil for entries.
+	// Reported is called with each report and whether it arrived.
 	Report   func() *placement.Report
 	Reported func(r *placement.Report, ok bool)
-	// Changed is called after changes were taken in, without locks held.
+	// Changed is called after changes were applied, without locks held.
 	Changed func()
 }
 
-// Follower is a running subscription.
+// Follower keeps one subscription.
 type Follower struct {
 	cfg     Config
 	cancel  context.CancelFunc
@@ -78,14 +78,14 @@
 	return f
 }
 
-// Start begins to follow.
+// Start starts the subscription.
 func (f *Follower) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
 	go f.run(ctx)
 }
 
-// Stop ends the subscription.
+// Stop ends the subscription and waits for its goroutine.
 func (f *Follower) Stop() {
 	f.cancel()
 	<-f.done
@@ -95,17 +95,17 @@
 // since the process started.
 func (f *Follower) Ready() bool { return f.ready.Load() }
 
-// Entries returns the number of live entries, as control last told.
+// Entries returns the number of live entries last reported by control, at least 1.
 func (f *Follower) Entries() int { return int(max(1, f.entries.Load())) }
 
-// Read runs fn on the view. fn must not keep it.
+// Read calls fn with the view under a read lock. fn must not keep it.
 func (f *Follower) Read(fn func(v *view.View)) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	fn(f.view)
 }
 
-// TakeRecords takes in record changes that an agent handed over.
+// TakeRecords applies record changes that an agent returned.
 func (f *Follower) TakeRecords(rs []state.Record) {
 	f.mu.Lock()
 	err := f.view.ApplyRecords(rs)
@@ -114,10 +114,11 @@
 		f.cfg.Log.Error().Err(err).Msg("record_unreadable")
 		return
 	}
-	f.changed()
+	f.notifyChanged()
 }
 
-// Call sends a call to the connected control host.
+// Call sends a call to the connected control host. It fails with ErrDisconnected if
+// there is none.
 func (f *Follower) Call(ctx context.Context, method string, params, result any) error {
 	f.mu.RLock()
 	conn := f.conn
@@ -128,7 +129,8 @@
 	return conn.Call(ctx, method, params, result)
 }
 
-func (f *Follower) changed() {
+// notifyChanged triggers a heartbeat and calls Changed.
+func (f *Follower) notifyChanged() {
 	select {
 	case f.beatNow <- struct{}{}:
 	default:
@@ -157,7 +159,8 @@
 	}
 }
 
-// session follows one control host until the connection is lost or silent.
+// session subscribes to one control host and returns when the connection is lost or
+// silent.
 func (f *Follower) session(ctx context.Context, addr string) error {
 	conn, err := rpc.Dial(ctx, addr, f.cfg.Security, f.cfg.Count, f.handle)
 	if err != nil {
@@ -170,7 +173,7 @@
 	f.mu.Unlock()
 	sub := wire.SubscribeParams{Process: f.cfg.Process, From: ident.Position{Group: f.cfg.Group, Index: from}}
 	var res wire.SubscribeResult
-	if err := call(ctx, conn, wire.MethodSubscribe, sub, &res); err != nil {
+	if err := callWithTimeout(ctx, conn, wire.MethodSubscribe, sub, &res); err != nil {
 		return err
 	}
 	f.setConn(conn)
@@ -180,9 +183,9 @@
 	return f.beatLoop(ctx, conn)
 }
 
-// call bounds a call by the time after which the other side counts as silent.
-func call(ctx context.Context, conn *rpc.Conn, method string, params, result any) error {
-	ctx, cancel := context.WithTimeout(ctx, silence)
+// callWithTimeout makes a call with the time-out after which the other side counts as silent.
+func callWithTimeout(ctx context.Context, conn *rpc.Conn, method string, params, result any) error {
+	ctx, cancel := context.WithTimeout(ctx, silenceLimit)
 	defer cancel()
 	return conn.Call(ctx, method, params, result)
 }
@@ -193,8 +196,8 @@
 	f.conn = c
 }
 
-// becomeReady learns the newest index from a quorum and waits for the view to
-// reach it.
+// becomeReady gets the newest index confirmed by a quorum and marks the process as ready
+// when the view has reached it.
 func (f *Follower) becomeReady(ctx context.Context, conn *rpc.Conn) {
 	for !f.ready.Load() && ctx.Err() == nil {
 		select {
@@ -203,7 +206,7 @@
 		default:
 		}
 		var res wire.FreshResult
-		cctx, cancel := context.WithTimeout(ctx, freshWait)
+		cctx, cancel := context.WithTimeout(ctx, freshTimeout)
 		err := conn.Call(cctx, wire.MethodFresh, nil, &res)
 		cancel()
 		if err != nil {
@@ -214,7 +217,7 @@
 			if f.Index() >= res.Index {
 				f.ready.Store(true)
 				f.cfg.Log.Info().Uint64("index", uint64(res.Index)).Msg("ready")
-				f.changed()
+				f.notifyChanged()
 				return
 			}
 			select {
@@ -226,16 +229,16 @@
 	}
 }
 
-// Index returns the index up to which everything is taken in.
+// Index returns the index up to which all changes are applied.
 func (f *Follower) Index() ident.Index {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return f.view.Index()
 }
 
-// beatLoop sends signs of life until the connection fails.
+// beatLoop sends heartbeats until the connection fails.
 func (f *Follower) beatLoop(ctx context.Context, conn *rpc.Conn) error {
-	t := time.NewTicker(BeatEvery)
+	t := time.NewTicker(BeatInterval)
 	defer t.Stop()
 	for {
 		if err := f.beat(ctx, conn); err != nil {
@@ -259,7 +262,7 @@
 		b.Report = f.cfg.Report()
 	}
 	var res wire.BeatResult
-	err := call(ctx, conn, wire.MethodBeat, b, &res)
+	err := callWithTimeout(ctx, conn, wire.MethodBeat, b, &res)
 	if b.Report != nil && f.cfg.Reported != nil {
 		f.cfg.Reported(b.Report, err == nil && !res.Unknown)
 	}
@@ -280,7 +283,8 @@
 	return err
 }
 
-// handle takes in what control sends.
+// handle applies the changes that control sends. It closes the connection if they cannot be
+// applied.
 func (f *Follower) handle(_ context.Context, conn *rpc.Conn, method string, raw json.RawMessage) (any, error) {
 	if method != wire.MethodChanges {
 		return nil, nil
@@ -288,20 +292,22 @@
 	var c wire.Changes
 	err := json.Unmarshal(raw, &c)
 	if err == nil {
-		err = f.take(c)
+		err = f.applyChanges(c)
 	}
 	if err != nil {
-		// Going on would mean to act on a view that lacks a change.
+		// Without the connection closed, the process would act on a view that is
+		// missing a change.
 		f.cfg.Log.Error().Err(err).Msg("changes_refused")
 		conn.Close()
 		return nil, err
 	}
-	f.changed()
+	f.notifyChanged()
 	return nil, nil
 }
 
-// take applies changes, or gathers the pages of a full copy.
-func (f *Follower) take(c wire.Changes) error {
+// applyChanges applies changes, or collects the pages of a full copy and applies it with the last
+// page.
+func (f *Follower) applyChanges(c wire.Changes) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if c.Reset || f.pending != nil {
