--- a/internal/app/entry/api.go
+++ b/internal/app/entry/api.go
@@ -23,67 +23,69 @@
 )
 
 const (
-	randDigits = 36
-	maxKey     = 255 // bytes of an idempotency key
+	idBase      = 36
+	maxKeyBytes = 255 // bytes of an idempotency key
 )
 
 func randN(n int) int { return rand.IntN(n) }
 
-func encodeIncarnation(i ident.Incarnation) string { return strconv.FormatUint(uint64(i), randDigits) }
+func encodeIncarnation(i ident.Incarnation) string { return strconv.FormatUint(uint64(i), idBase) }
 
-func encodeNumber(n uint64) string { return strconv.FormatUint(n, randDigits) }
+func encodeNumber(n uint64) string { return strconv.FormatUint(n, idBase) }
 
-// API returns the callers' HTTP interface.
+// API returns the HTTP interface for callers.
 func (e *Entry) API() *echo.Echo {
 	x := echo.New()
 	x.HideBanner, x.HidePort = true, true
-	x.POST("/v1/chat/completions", e.counted(e.completion))
-	x.POST("/v1/completions", e.counted(e.completion))
+	x.POST("/v1/chat/completions", e.withAccounting(e.completion))
+	x.POST("/v1/completions", e.withAccounting(e.completion))
 	x.GET("/v1/models", e.models)
-	x.Any("/services/:service/*", e.counted(e.plain))
-	opshttp.Health(x, e.whyNotReady)
+	x.Any("/services/:service/*", e.withAccounting(e.plain))
+	opshttp.Health(x, e.checkReady)
 	return x
 }
 
 var errNotReady = errors.New("stopping, or not holding the configuration in force yet")
 
-func (e *Entry) whyNotReady(context.Context) error {
+func (e *Entry) checkReady(context.Context) error {
 	if !e.Ready() {
 		return errNotReady
 	}
 	return nil
 }
 
-// handler ends a request in one outcome: a refusal, or nil for answered.
+// handler serves a request and returns its outcome: a refusal, or nil for
+// answered.
 type handler func(c echo.Context, j *job) *refusal
 
-// counted wraps a handler with the accounting that every request gets: one
-// arrival, one outcome, one log line.
-func (e *Entry) counted(h handler) echo.HandlerFunc {
+// withAccounting wraps a handler so that every request is counted once on
+// arrival, gets one outcome and is logged in one line.
+func (e *Entry) withAccounting(h handler) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		begin := time.Now()
 		j := &job{id: e.newRequestID()}
 		c.Response().Header().Set(HeaderRequest, string(j.id))
-		if !e.accounts.begin(e.cfg.MaxRequests) {
+		if !e.requests.begin(e.cfg.MaxRequests) {
 			e.met.outcome(NotRun, "too_many_requests")
 			return notRun("too_many_requests", "this entry has as many requests in progress as it takes", time.Second).write(c)
 		}
-		defer e.accounts.end()
-		ref := e.guard(c, j, h)
-		e.account(c, j, ref, begin)
-		return e.close(c, j, ref)
+		defer e.requests.end()
+		ref := e.runIfReady(c, j, h)
+		e.recordOutcome(c, j, ref, begin)
+		return e.respond(c, j, ref)
 	}
 }
 
-// guard refuses while the entry cannot know the configuration in force.
-func (e *Entry) guard(c echo.Context, j *job, h handler) *refusal {
+// runIfReady calls h, or refuses the request while the entry may not have the
+// configuration in force.
+func (e *Entry) runIfReady(c echo.Context, j *job, h handler) *refusal {
 	if !e.follower.Ready() {
 		return notRun("not_ready", "this entry does not hold the configuration in force yet", time.Second)
 	}
 	return h(c, j)
 }
 
-func (e *Entry) account(c echo.Context, j *job, ref *refusal, begin time.Time) {
+func (e *Entry) recordOutcome(c echo.Context, j *job, ref *refusal, begin time.Time) {
 	outcome, code, message := Answered, "", ""
 	if ref != nil {
 		outcome, code, message = ref.outcome, ref.code, ref.message
@@ -91,13 +93,14 @@
 	took := time.Since(begin)
 	e.met.outcome(outcome, code)
 	e.met.seconds.Update(took.Seconds())
-	e.recent.add(Ended{Request: j.id, Service: j.service, Customer: j.customer.Name, Target: j.target.String(), Outcome: outcome, Code: code, Message: message, Tries: j.trace, At: begin, Seconds: took.Seconds()})
+	e.recent.add(RequestSummary{Request: j.id, Service: j.service, Customer: j.customer.Name, Target: j.target.String(), Outcome: outcome, Code: code, Message: message, Tries: j.trace, At: begin, Seconds: took.Seconds()})
 	e.cfg.Log.Info().Str("request", string(j.id)).Str("service", j.service).Str("customer", string(j.customer.Name)).Stringer("target", j.target).
 		Str("path", c.Path()).Str("outcome", string(outcome)).Str("code", code).Int("attempts", int(j.attempts)).Dur("took", took).Msg("request_ended")
 }
 
-// close sends a refusal in the form that the state of the answer allows.
-func (e *Entry) close(c echo.Context, j *job, ref *refusal) error {
+// respond sends the refusal, if any: as a response of its own while no header
+// was sent, otherwise by aborting the answer.
+func (e *Entry) respond(c echo.Context, j *job, ref *refusal) error {
 	if ref == nil || ref.status == statusClientClosed {
 		return nil
 	}
@@ -110,8 +113,9 @@
 	return ref.write(c)
 }
 
-// completionBody is what the entry reads of a completion request; the engine
-// gets the body as the caller wrote it, with the model's full name.
+// completionBody is the part of a completion request that the entry reads. The
+// engine receives the caller's fields unchanged except for the model, which is
+// replaced by its full name.
 type completionBody struct {
 	Model    string          `json:"model"`
 	Stream   bool            `json:"stream"`
@@ -145,8 +149,8 @@
 		return badRequest("", err.Error())
 	}
 	j.prefix = routing.PrefixHash(j.customer.Name, j.target, string(body.Messages)+string(body.Prompt))
-	// Generating text changes nothing outside, so it may be repeated, unless
-	// the caller asked for at most one run by sending a key.
+	// Generating text has no side effects, so it may be repeated, unless the
+	// caller requested at most one run by sending an idempotency key.
 	j.repeatable = c.Request().Header.Get(HeaderKey) == ""
 	now := time.Now()
 	j.startBy = now.Add(model.StartWithin)
@@ -155,8 +159,8 @@
 	return e.serve(c, j)
 }
 
-// parseCompletion checks what the entry relies on and names the field that is
-// wrong.
+// parseCompletion decodes and validates the fields that the entry uses. A
+// refusal names the invalid field.
 func parseCompletion(raw []byte, path string) (completionBody, *refusal) {
 	var b completionBody
 	if err := json.Unmarshal(raw, &b); err != nil {
@@ -179,7 +183,8 @@
 
 func isArray(raw json.RawMessage) bool { return len(raw) > 0 && raw[0] == '[' }
 
-// withModel replaces the model's name by its full one, version included.
+// withModel returns the body with its model replaced by the full name of t,
+// version included.
 func withModel(raw []byte, t ident.Target) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &fields); err != nil {
@@ -193,13 +198,14 @@
 	return json.Marshal(fields)
 }
 
-// grant is one service that the caller's key opens.
+// grant is one service that the caller's key gives access to.
 type grant struct {
 	service  *record.Service
 	customer *record.Customer
 }
 
-// authenticate finds the services that the caller's key opens.
+// authenticate returns the services that the caller's key gives access to,
+// sorted by name.
 func (e *Entry) authenticate(c echo.Context) ([]grant, *refusal) {
 	header := c.Request().Header.Get(echo.HeaderAuthorization)
 	key, ok := strings.CutPrefix(header, "Bearer ")
@@ -231,8 +237,9 @@
 	if err != nil {
 		return nil, badRequest("", "the body could not be read: "+err.Error())
 	}
-	// The listener's read deadline is for slow senders. Left in place it would
-	// end the request's context, and with it any answer longer than that.
+	// The listener's read deadline is meant for slow senders. If it stayed in
+	// place, it would cancel the request's context and so abort any answer that
+	// takes longer.
 	rc := http.NewResponseController(c.Response())
 	if err := rc.SetReadDeadline(time.Time{}); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return nil, badRequest("", err.Error())
@@ -240,7 +247,8 @@
 	return raw, nil
 }
 
-// resolve finds the record that lets the caller use the target.
+// resolve finds the model that t names among the caller's services and sets the
+// job's service, customer and target.
 func (e *Entry) resolve(j *job, grants []grant, t ident.Target) (*record.Model, *refusal) {
 	denied := false
 	for _, g := range grants {
@@ -258,14 +266,15 @@
 		j.service, j.customer, j.target = g.service.Name, *g.customer, full
 		return m, nil
 	}
-	if denied || e.statedElsewhere(t) {
+	if denied || e.existsElsewhere(t) {
 		return nil, &refusal{outcome: NotRun, status: http.StatusForbidden, kind: kindDenied, code: "model_not_allowed", param: "model", message: "this key may not call " + t.String()}
 	}
 	return nil, &refusal{outcome: NotRun, status: http.StatusNotFound, kind: kindRequest, code: "model_not_found", param: "model", message: "no model " + t.String()}
 }
 
-// preferReady sends requests without a version to the newest version that is
-// ready, so that a new version takes over only once it is loaded.
+// preferReady returns the newest version that has a ready replica, for requests
+// that name no version. A new version so receives requests only once it is
+// loaded.
 func (e *Entry) preferReady(s *record.Service, t, newest ident.Target, m *record.Model) (ident.Target, *record.Model) {
 	best, bestModel := newest, m
 	e.follower.Read(func(v *view.View) {
@@ -273,9 +282,9 @@
 			if s.Models[i].Name != t.Model {
 				continue
 			}
-			want := t
-			want.Version = s.Models[i].Version
-			full, model, ok := s.Resolve(want)
+			versioned := t
+			versioned.Version = s.Models[i].Version
+			full, model, ok := s.Resolve(versioned)
 			ready := false
 			if ok {
 				v.Ready(full, func(state.Replica, state.Endpoint) { ready = true })
@@ -289,7 +298,8 @@
 	return best, bestModel
 }
 
-func (e *Entry) statedElsewhere(t ident.Target) bool {
+// existsElsewhere reports whether any service has the target.
+func (e *Entry) existsElsewhere(t ident.Target) bool {
 	found := false
 	e.follower.Read(func(v *view.View) {
 		for _, s := range v.Services() {
@@ -301,14 +311,15 @@
 	return found
 }
 
-// serve limits, claims and runs a job whose fields are set.
+// serve applies the caller's deadline and the customer's rate limit, claims the
+// idempotency key, if any, and runs the job.
 func (e *Entry) serve(c echo.Context, j *job) *refusal {
-	if ref := j.shorten(c); ref != nil {
+	if ref := j.applyDeadline(c); ref != nil {
 		return ref
 	}
 	now := time.Now()
 	ok, wait := true, time.Duration(0)
-	e.withTable(func() {
+	e.locked(func() {
 		ok, wait = e.rates.Allow(now, j.service, j.customer.Name, j.customer.Rate, e.follower.Entries())
 	})
 	if !ok {
@@ -324,9 +335,9 @@
 	return e.run(ctx, j)
 }
 
-// shorten applies the caller's own deadline, which is never later than the
-// record's.
-func (j *job) shorten(c echo.Context) *refusal {
+// applyDeadline applies the deadline in the caller's header, which can only make
+// the one from the record earlier.
+func (j *job) applyDeadline(c echo.Context) *refusal {
 	h := c.Request().Header.Get(HeaderDeadline)
 	if h == "" {
 		return nil
@@ -342,26 +353,26 @@
 	return nil
 }
 
-// modelList is the answer of /v1/models.
+// modelList is the response body of /v1/models.
 type modelList struct {
 	Object string      `json:"object"`
-	Data   []modelLine `json:"data"`
+	Data   []modelInfo `json:"data"`
 }
 
-type modelLine struct {
+type modelInfo struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
 	Created int64  `json:"created"`
 	OwnedBy string `json:"owned_by"`
 }
 
-// models lists what this caller may call.
+// models lists the models and adapters that the caller may use.
 func (e *Entry) models(c echo.Context) error {
 	grants, ref := e.authenticate(c)
 	if ref != nil {
 		return ref.write(c)
 	}
-	out := modelList{Object: "list", Data: []modelLine{}}
+	out := modelList{Object: "list", Data: []modelInfo{}}
 	for _, g := range grants {
 		for _, m := range g.service.Models {
 			if !g.customer.MayCall(m.Name) {
@@ -379,10 +390,10 @@
 }
 
 func (l *modelList) add(t ident.Target, owner string) {
-	l.Data = append(l.Data, modelLine{ID: t.String(), Object: "model", OwnedBy: owner})
+	l.Data = append(l.Data, modelInfo{ID: t.String(), Object: "model", OwnedBy: owner})
 }
 
-// plain routes a call to a plain service.
+// plain serves a call to a plain service.
 func (e *Entry) plain(c echo.Context, j *job) *refusal {
 	grants, ref := e.authenticate(c)
 	if ref != nil {
--- a/internal/app/entry/attempt.go
+++ b/internal/app/entry/attempt.go
@@ -16,119 +16,119 @@
 )
 
 const (
-	acceptWait  = time.Second     // an agent decides about an attempt within this
-	submitWait  = 3 * time.Second // time to settle an attempt whose answer was lost
-	resumeWait  = 5 * time.Second // time to reach the agent again when a connection broke
-	resumePause = 50 * time.Millisecond
-	cancelWait  = time.Second
+	acceptTimeout  = time.Second     // for an agent to accept or refuse an attempt
+	submitTimeout  = 3 * time.Second // for all tries to submit an attempt whose acknowledgement was lost
+	resumeTimeout  = 5 * time.Second // for reconnecting to the agent after a connection broke
+	resumeInterval = 50 * time.Millisecond
+	cancelTimeout  = time.Second
 )
 
-// verdict is how one attempt ended.
-type verdict struct {
-	state      wire.RunState // accepted: the whole answer was delivered
-	reason     string
-	retryAfter time.Duration
-	records    []state.Record
-	unsent     bool     // nothing reached the endpoint
-	ended      string   // the start of the engine that ended while it ran this; "" if none did
-	final      *refusal // the job ends with this, whatever the state
+// attemptResult is the result of one attempt.
+type attemptResult struct {
+	state            wire.RunState // RunAccepted: the complete answer was delivered
+	reason           string
+	retryAfter       time.Duration
+	records          []state.Record
+	notSent          bool     // nothing was sent to the endpoint
+	endedIncarnation string   // of the engine that ended while it ran the attempt; "" if none did
+	final            *refusal // if set, ends the job whatever the state
 }
 
-// flight is one attempt under way.
-type flight struct {
-	entry *Entry
-	job   *job
-	ep    state.Endpoint
-	at    ident.Attempt
-	in    *inbound
-	conn  *rpc.Conn
-	recv  stream.Receiver
-	acked int64
+// attempt is one attempt in progress.
+type attempt struct {
+	entry    *Entry
+	job      *job
+	ep       state.Endpoint
+	id       ident.Attempt
+	inbound  *inbound
+	conn     *rpc.Conn
+	received stream.Receiver
+	acked    int64
 }
 
-// attempt sends the job to one endpoint and follows it to its end.
-func (e *Entry) attempt(ctx context.Context, j *job, c routing.Candidate, ep state.Endpoint) verdict {
+// attempt sends the job to one endpoint and passes its answer on until it ends.
+func (e *Entry) attempt(ctx context.Context, j *job, c routing.Candidate, ep state.Endpoint) attemptResult {
 	j.attempts++
-	f := &flight{entry: e, job: j, ep: ep, at: ident.Attempt{Request: j.id, Number: j.attempts}}
-	f.in = e.pool.inbounds().open(f.at)
-	defer e.pool.inbounds().close(f.at)
-	e.withTable(func() { e.table.Sent(ep.Host) })
-	defer e.withTable(func() { e.table.Ended(ep.Host) })
-	e.pool.use(ep.Addr, +1)
-	defer e.pool.use(ep.Addr, -1)
+	a := &attempt{entry: e, job: j, ep: ep, id: ident.Attempt{Request: j.id, Number: j.attempts}}
+	a.inbound = e.pool.inbounds().open(a.id)
+	defer e.pool.inbounds().close(a.id)
+	e.locked(func() { e.table.Sent(ep.Host) })
+	defer e.locked(func() { e.table.Ended(ep.Host) })
+	e.pool.addRuns(ep.Addr, +1)
+	defer e.pool.addRuns(ep.Addr, -1)
 	e.met.attempts.Inc()
 
-	v, accepted := f.submit(ctx)
+	r, accepted := a.submit(ctx)
 	if !accepted {
-		return v
+		return r
 	}
-	return f.follow(ctx)
+	return a.receive(ctx)
 }
 
-// params describes the attempt to the agent.
-func (f *flight) params() wire.RunParams {
-	j, now := f.job, time.Now()
+// params returns the parameters of the run call to the agent.
+func (a *attempt) params() wire.RunParams {
+	j, now := a.job, time.Now()
 	p := wire.RunParams{
-		Attempt: f.at, Entry: f.entry.cfg.Host, Agent: f.ep.Host, Customer: j.customer.Name, Weight: float64(j.customer.ReplicasSold), Priority: j.customer.Priority,
+		Attempt: a.id, Entry: a.entry.cfg.Host, Agent: a.ep.Host, Customer: j.customer.Name, Weight: float64(j.customer.ReplicasSold), Priority: j.customer.Priority,
 		Target: j.target, Service: j.plain, Method: j.method, Path: j.path, ContentType: j.contentType, Body: j.body,
 		Repeatable: j.repeatable, Claim: j.claim, StartWithin: j.startBy.Sub(now), EndWithin: j.endBy.Sub(now),
 	}
-	f.entry.follower.Read(func(v *view.View) {
-		p.Config = ident.Position{Group: f.entry.cfg.Group, Index: v.Config()}
+	a.entry.follower.Read(func(v *view.View) {
+		p.Config = ident.Position{Group: a.entry.cfg.Group, Index: v.Config()}
 	})
 	return p
 }
 
-// submit hands the attempt to the agent. When the agent's answer is lost, the
-// same attempt is sent again: the agent either knows it, or, being the same
-// process, certainly never ran it.
-func (f *flight) submit(ctx context.Context) (v verdict, accepted bool) {
-	e := f.entry
-	deadline := time.Now().Add(submitWait)
-	p := f.params()
+// submit sends the attempt to the agent. When the agent's reply is lost, the
+// same attempt is sent again: an agent of the same incarnation that does not
+// know the attempt has certainly never run it.
+func (a *attempt) submit(ctx context.Context) (r attemptResult, accepted bool) {
+	e := a.entry
+	deadline := time.Now().Add(submitTimeout)
+	p := a.params()
 	sent := false
 	for time.Now().Before(deadline) && ctx.Err() == nil {
-		conn, err := e.pool.get(ctx, f.ep.Addr)
+		conn, err := e.pool.get(ctx, a.ep.Addr)
 		if err != nil && !sent {
-			// Nothing left this host: it did not run.
-			e.withTable(func() { e.table.Failed(time.Now(), f.ep.Host) })
-			return verdict{state: wire.RunNotRun, reason: "the endpoint cannot be reached", unsent: true}, false
+			// Nothing was sent, so it did not run.
+			e.locked(func() { e.table.Failed(time.Now(), a.ep.Host) })
+			return attemptResult{state: wire.RunNotRun, reason: "the endpoint cannot be reached", notSent: true}, false
 		}
 		if err != nil {
-			pause(ctx, resumePause)
+			pause(ctx, resumeInterval)
 			continue
 		}
 		var res wire.RunResult
-		cctx, cancel := context.WithTimeout(ctx, acceptWait)
-		err = conn.Call(cctx, wire.MethodRun, p, &res)
+		callCtx, cancel := context.WithTimeout(ctx, acceptTimeout)
+		err = conn.Call(callCtx, wire.MethodRun, p, &res)
 		cancel()
 		sent = true
 		if err == nil {
-			f.conn = conn
-			return f.decided(res)
+			a.conn = conn
+			return a.interpret(res)
 		}
-		p.SentTo = f.ep.Incarnation
+		p.SentTo = a.ep.Incarnation
 		if !rpc.Refused(err) {
-			conn.Close() // silent or broken: the next try dials anew
+			conn.Close() // silent or broken: the next try dials again
 		}
-		if f.job.repeatable {
-			break // another endpoint answers sooner than this one is settled
+		if a.job.repeatable {
+			break // another endpoint answers sooner than this attempt is resolved
 		}
 		e.met.resubmits.Inc()
 	}
-	e.withTable(func() { e.table.Failed(time.Now(), f.ep.Host) })
+	e.locked(func() { e.table.Failed(time.Now(), a.ep.Host) })
 	if !sent {
-		return verdict{state: wire.RunNotRun, reason: "no time was left to send it", final: e.leftOrNil(ctx)}, false
+		return attemptResult{state: wire.RunNotRun, reason: "no time was left to send it", final: e.contextRefusalOrNil(ctx)}, false
 	}
-	go f.bar()
-	return verdict{state: wire.RunUnknown, reason: "the endpoint fell silent while taking the request"}, false
+	go a.cancelDetached()
+	return attemptResult{state: wire.RunUnknown, reason: "the endpoint fell silent while taking the request"}, false
 }
 
-func (e *Entry) leftOrNil(ctx context.Context) *refusal {
+func (e *Entry) contextRefusalOrNil(ctx context.Context) *refusal {
 	if ctx.Err() == nil {
 		return nil
 	}
-	return e.left(ctx)
+	return e.contextRefusal(ctx)
 }
 
 func pause(ctx context.Context, d time.Duration) {
@@ -138,192 +138,200 @@
 	}
 }
 
-// decided turns the agent's word into a verdict.
-func (f *flight) decided(res wire.RunResult) (verdict, bool) {
-	e := f.entry
-	e.withTable(func() { e.table.Report(time.Now(), f.ep.Host, res.Load) })
+// interpret converts the agent's reply into a result. It returns true if the
+// attempt was accepted and its answer follows.
+func (a *attempt) interpret(res wire.RunResult) (attemptResult, bool) {
+	e := a.entry
+	e.locked(func() { e.table.Report(time.Now(), a.ep.Host, res.Load) })
 	if res.State == wire.RunAccepted {
-		return verdict{}, true
+		return attemptResult{}, true
 	}
-	return verdict{state: res.State, reason: res.Reason, retryAfter: res.RetryAfter, records: res.Records}, false
+	return attemptResult{state: res.State, reason: res.Reason, retryAfter: res.RetryAfter, records: res.Records}, false
 }
 
-// bar has the agent refuse the attempt should it arrive late, so that it does
-// not run for a caller who is gone.
-func (f *flight) bar() {
-	ctx, cancel := context.WithTimeout(context.Background(), cancelWait)
+// cancelDetached cancels the attempt at the agent with a time limit of its own.
+// The agent then refuses the attempt if it arrives late, so that it does not run
+// for a caller that has left.
+func (a *attempt) cancelDetached() {
+	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
-	f.cancel(ctx)
+	a.cancel(ctx)
 }
 
-// cancel ends the attempt at the agent and returns the agent's word on it.
-func (f *flight) cancel(ctx context.Context) wire.RunState {
-	conn, err := f.entry.pool.get(ctx, f.ep.Addr)
+// cancel ends the attempt at the agent and returns the state that the agent
+// reports, RunUnknown if it cannot be reached.
+func (a *attempt) cancel(ctx context.Context) wire.RunState {
+	conn, err := a.entry.pool.get(ctx, a.ep.Addr)
 	if err != nil {
 		return wire.RunUnknown
 	}
 	var res wire.RunResult
-	if err := conn.Call(ctx, wire.MethodCancel, wire.CancelParams{Attempt: f.at, SentTo: f.ep.Incarnation}, &res); err != nil {
+	if err := conn.Call(ctx, wire.MethodCancel, wire.CancelParams{Attempt: a.id, SentTo: a.ep.Incarnation}, &res); err != nil {
 		return wire.RunUnknown
 	}
 	return res.State
 }
 
-// follow takes the answer in until it ends.
-func (f *flight) follow(ctx context.Context) verdict {
+// receive passes the answer on to the sink until the attempt ends, resuming it
+// when the connection breaks.
+func (a *attempt) receive(ctx context.Context) attemptResult {
 	for {
-		parts, end := f.in.take()
+		parts, end := a.inbound.take()
 		for _, p := range parts {
-			if v, over := f.part(p); over {
-				return v
+			if r, over := a.handlePart(p); over {
+				return r
 			}
 		}
 		if end != nil {
-			v, over := f.end(*end)
+			r, over := a.handleEnd(*end)
 			if over {
-				return v
+				return r
 			}
-			if v, ok := f.resume(ctx); !ok {
-				return v
+			if r, ok := a.resume(ctx); !ok {
+				return r
 			}
 			continue
 		}
 		select {
-		case <-f.in.notify:
-		case <-f.conn.Closed():
-			if v, ok := f.resume(ctx); !ok {
-				return v
+		case <-a.inbound.notify:
+		case <-a.conn.Closed():
+			if r, ok := a.resume(ctx); !ok {
+				return r
 			}
 		case <-ctx.Done():
-			return f.abandon(ctx)
-		case <-f.entry.cut:
-			return f.abandon(ctx)
+			return a.abandon(ctx)
+		case <-a.entry.abort:
+			return a.abandon(ctx)
 		}
 	}
 }
 
-// part passes one piece of the answer on.
-func (f *flight) part(p wire.Part) (verdict, bool) {
+// handlePart passes one part of the answer on to the sink. It returns true if
+// the attempt has ended.
+func (a *attempt) handlePart(p wire.Part) (attemptResult, bool) {
 	if p.Head != nil {
-		if err := f.job.sink.head(*p.Head); err != nil {
-			return f.callerGone(), true
+		if err := a.job.sink.head(*p.Head); err != nil {
+			return a.callerGone(), true
 		}
 	}
-	fresh, err := f.recv.Accept(p.Offset, p.Data)
+	fresh, err := a.received.Accept(p.Offset, p.Data)
 	if errors.Is(err, stream.ErrGap) {
-		f.entry.met.gaps.Inc()
-		f.conn.Close() // resume from what was received
-		return verdict{}, false
+		a.entry.met.gaps.Inc()
+		a.conn.Close() // resume from what was received
+		return attemptResult{}, false
 	}
 	if len(fresh) < len(p.Data) {
-		f.entry.met.duplicates.Inc()
+		a.entry.met.duplicates.Inc()
 	}
-	if err := f.job.sink.write(fresh); err != nil {
-		return f.callerGone(), true
+	if err := a.job.sink.write(fresh); err != nil {
+		return a.callerGone(), true
 	}
-	if f.recv.Next()-f.acked >= int64(f.entry.cfg.Window/4) {
-		f.ack()
+	if a.received.Next()-a.acked >= int64(a.entry.cfg.Window/4) {
+		a.ack()
 	}
-	return verdict{}, false
+	return attemptResult{}, false
 }
 
-// ack tells the agent what was received; it drops those bytes and may go on.
-func (f *flight) ack() {
-	f.acked = f.recv.Next()
-	_ = f.conn.Notify(wire.MethodAck, wire.Ack{Attempt: f.at, Offset: f.acked})
+// ack acknowledges the received bytes. The agent drops them from its buffer and
+// may send more.
+func (a *attempt) ack() {
+	a.acked = a.received.Next()
+	_ = a.conn.Notify(wire.MethodAck, wire.Ack{Attempt: a.id, Offset: a.acked})
 }
 
-// end takes in the agent's word that the attempt has ended. It is not over when
-// bytes are missing: they are still held there.
-func (f *flight) end(end wire.End) (verdict, bool) {
-	e := f.entry
-	e.withTable(func() { e.table.Report(time.Now(), f.ep.Host, end.Load) })
-	if end.State == wire.RunAccepted && !f.recv.Whole(end.Total) {
+// handleEnd handles the agent's message that the attempt has ended. It returns
+// false when bytes are missing: the agent still holds them.
+func (a *attempt) handleEnd(end wire.End) (attemptResult, bool) {
+	e := a.entry
+	e.locked(func() { e.table.Report(time.Now(), a.ep.Host, end.Load) })
+	if end.State == wire.RunAccepted && !a.received.Whole(end.Total) {
 		e.met.gaps.Inc()
-		return verdict{}, false
+		return attemptResult{}, false
 	}
-	f.ack()
+	a.ack()
 	if end.State != wire.RunAccepted {
 		if end.State == wire.RunUnknown {
-			e.withTable(func() { e.table.Failed(time.Now(), f.ep.Host) })
+			e.locked(func() { e.table.Failed(time.Now(), a.ep.Host) })
 		}
-		return verdict{state: end.State, reason: end.Reason, ended: end.Ended}, true
+		return attemptResult{state: end.State, reason: end.Reason, endedIncarnation: end.Ended}, true
 	}
-	e.withTable(func() { e.table.Succeeded(f.ep.Host) })
-	if err := f.job.sink.finish(); err != nil {
-		return f.callerGone(), true
+	e.locked(func() { e.table.Succeeded(a.ep.Host) })
+	if err := a.job.sink.finish(); err != nil {
+		return a.callerGone(), true
 	}
-	return verdict{state: wire.RunAccepted}, true
+	return attemptResult{state: wire.RunAccepted}, true
 }
 
-// resume goes on over a new connection from the first byte not received. It
-// returns false with a verdict when the agent cannot be reached or does not
-// know the attempt.
-func (f *flight) resume(ctx context.Context) (verdict, bool) {
-	e := f.entry
-	deadline := time.Now().Add(resumeWait)
+// resume continues the answer over a new connection from the first byte not
+// received. It returns false with a result when the agent cannot be reached or
+// does not know the attempt.
+func (a *attempt) resume(ctx context.Context) (attemptResult, bool) {
+	e := a.entry
+	deadline := time.Now().Add(resumeTimeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
-		conn, err := e.pool.get(ctx, f.ep.Addr)
+		conn, err := e.pool.get(ctx, a.ep.Addr)
 		if err != nil {
-			pause(ctx, resumePause)
+			pause(ctx, resumeInterval)
 			continue
 		}
 		var res wire.RunResult
-		cctx, cancel := context.WithTimeout(ctx, acceptWait)
-		err = conn.Call(cctx, wire.MethodResume, wire.ResumeParams{Attempt: f.at, Offset: f.recv.Next()}, &res)
+		callCtx, cancel := context.WithTimeout(ctx, acceptTimeout)
+		err = conn.Call(callCtx, wire.MethodResume, wire.ResumeParams{Attempt: a.id, Offset: a.received.Next()}, &res)
 		cancel()
 		switch {
 		case err != nil:
 			conn.Close()
-			pause(ctx, resumePause)
+			pause(ctx, resumeInterval)
 		case res.State == wire.RunAccepted:
-			f.conn = conn
+			a.conn = conn
 			e.met.resumes.Inc()
-			return verdict{}, true
+			return attemptResult{}, true
 		default:
-			return verdict{state: wire.RunUnknown, reason: res.Reason}, false
+			return attemptResult{state: wire.RunUnknown, reason: res.Reason}, false
 		}
 	}
 	if ctx.Err() != nil {
-		return f.abandon(ctx), false
+		return a.abandon(ctx), false
 	}
-	e.withTable(func() { e.table.Failed(time.Now(), f.ep.Host) })
-	return verdict{state: wire.RunUnknown, reason: "the endpoint fell silent during the answer"}, false
+	e.locked(func() { e.table.Failed(time.Now(), a.ep.Host) })
+	return attemptResult{state: wire.RunUnknown, reason: "the endpoint fell silent during the answer"}, false
 }
 
-// abandon ends an attempt whose caller left, whose time is up or whose entry
-// stops. The agent's word tells whether it ran.
-func (f *flight) abandon(ctx context.Context) verdict {
-	cctx, cancel := context.WithTimeout(context.Background(), cancelWait)
+// abandon ends an attempt whose caller left, whose deadline has passed or whose
+// entry is stopping. The agent's reply states whether it ran.
+func (a *attempt) abandon(ctx context.Context) attemptResult {
+	cancelCtx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
-	why := "the time limit of the request has passed"
+	reason := "the time limit of the request has passed"
 	if errors.Is(ctx.Err(), context.Canceled) {
-		why = "the caller closed the connection"
+		reason = "the caller closed the connection"
 	} else if ctx.Err() == nil {
-		why = "this entry is stopping"
+		reason = "this entry is stopping"
 	}
-	if f.job.claim != nil && errors.Is(ctx.Err(), context.Canceled) {
-		// Under a key the run goes on: the caller will ask for its answer.
-		return verdict{state: wire.RunUnknown, reason: why, final: unknown("caller_left", why)}
+	if a.job.claim != nil && errors.Is(ctx.Err(), context.Canceled) {
+		// Under an idempotency key the run continues: the caller may request
+		// its answer again.
+		return attemptResult{state: wire.RunUnknown, reason: reason, final: unknown("caller_left", reason)}
 	}
-	if f.cancel(cctx) == wire.RunNotRun {
-		return verdict{state: wire.RunNotRun, reason: why, final: notRun("cancelled", why, 0)}
+	if a.cancel(cancelCtx) == wire.RunNotRun {
+		return attemptResult{state: wire.RunNotRun, reason: reason, final: notRun("cancelled", reason, 0)}
 	}
-	return verdict{state: wire.RunUnknown, reason: why, final: unknown("cancelled", why)}
+	return attemptResult{state: wire.RunUnknown, reason: reason, final: unknown("cancelled", reason)}
 }
 
 // callerGone ends an attempt whose answer can no longer be written.
-func (f *flight) callerGone() verdict {
-	if f.job.claim == nil {
-		go f.bar()
+func (a *attempt) callerGone() attemptResult {
+	if a.job.claim == nil {
+		go a.cancelDetached()
 	}
-	why := "the caller does not take the answer"
-	return verdict{state: wire.RunUnknown, reason: why, final: unknown("caller_left", why)}
+	reason := "the caller does not take the answer"
+	return attemptResult{state: wire.RunUnknown, reason: reason, final: unknown("caller_left", reason)}
 }
 
-// onPart hands what agents send to the attempt that waits for it. Parts of
-// attempts that nobody waits for are late and dropped.
-func (e *Entry) onPart(method string, raw json.RawMessage) {
+// onMessage dispatches parts and ends that agents send to the attempt that waits
+// for them. Messages for attempts that have ended are counted as late and
+// dropped.
+func (e *Entry) onMessage(method string, raw json.RawMessage) {
 	switch method {
 	case wire.MethodPart:
 		var p wire.Part
@@ -346,5 +354,5 @@
 	default:
 		return
 	}
-	e.met.late.Inc()
+	e.met.lateParts.Inc()
 }
--- a/internal/app/entry/claim.go
+++ b/internal/app/entry/claim.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	claimTimeout = 2 * time.Second
-	claimPoll    = 200 * time.Millisecond
-	settleTries  = 10
+	claimTimeout   = 2 * time.Second
+	claimInterval  = 200 * time.Millisecond
+	maxSettleTries = 10
 )
 
 // serveKeyed runs a request under its idempotency key. The key is claimed
-// through the log before anything runs, so that of all requests under it,
-// through whichever entry, one runs and the others get its answer.
+// through the log before the request runs, so that of all requests with the
+// same key, at any entry, one runs and the others receive its answer.
 func (e *Entry) serveKeyed(ctx context.Context, c echo.Context, j *job, key string) *refusal {
-	if len(key) > maxKey {
+	if len(key) > maxKeyBytes {
 		return badRequest("", HeaderKey+" is longer than 255 bytes")
 	}
 	j.claim = &state.ClaimKey{Customer: j.customer.Name, Service: j.service, Key: key}
@@ -31,8 +31,8 @@
 	for {
 		res, err := e.claim(ctx, wire.ClaimParams{Open: open})
 		if err != nil {
-			// Without a quorum nobody can know whether the key is taken. The
-			// claim may have been made all the same: release it.
+			// Without a quorum it is not known whether the key is claimed. The
+			// claim may have been committed nevertheless, so it is released.
 			go e.settle(j, &state.SettleClaim{Key: *j.claim, Request: j.id, NotRun: true})
 			return notRun("claim_unavailable", "the idempotency key could not be claimed: "+err.Error(), 2*time.Second)
 		}
@@ -40,8 +40,8 @@
 		case state.OK:
 			return e.runClaimed(ctx, j)
 		case state.InProgress:
-			ref, again := e.attachTo(ctx, c, j, res.Claim)
-			if !again {
+			ref, retry := e.awaitClaim(ctx, c, j, res.Claim)
+			if !retry {
 				return ref
 			}
 		case state.DigestDiffer:
@@ -52,7 +52,8 @@
 	}
 }
 
-// requestDigest tells two requests under one key apart.
+// requestDigest returns a hash that distinguishes different requests with the
+// same key.
 func requestDigest(j *job) string {
 	h := sha256.New()
 	h.Write([]byte(j.method + "\x00" + j.path + "\x00" + j.target.String() + "\x00" + j.plain + "\x00"))
@@ -70,8 +71,8 @@
 	return res, err
 }
 
-// runClaimed runs the request that holds the key. The agent settles an answered
-// claim; what did not run or cannot be told is settled here.
+// runClaimed runs the request that holds the key. The agent settles the claim of
+// an answered request; a claim that ends as not run or unknown is settled here.
 func (e *Entry) runClaimed(ctx context.Context, j *job) *refusal {
 	ref := e.run(ctx, j)
 	switch {
@@ -85,34 +86,35 @@
 }
 
 // settle ends a claim. If control cannot be reached for long, the claim becomes
-// unknown by its own deadline.
+// unknown when its own deadline passes.
 func (e *Entry) settle(j *job, s *state.SettleClaim) {
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
-	for range settleTries {
+	for range maxSettleTries {
 		if _, err := e.claim(ctx, wire.ClaimParams{Settle: s}); err == nil || ctx.Err() != nil {
 			return
 		}
-		pause(ctx, claimPoll)
+		pause(ctx, claimInterval)
 	}
 }
 
-// attachTo answers a request whose key another one holds: with the recorded
-// outcome, or after waiting for the run in progress. again tells that the claim
-// is to be tried anew.
-func (e *Entry) attachTo(ctx context.Context, c echo.Context, j *job, cl *state.Claim) (ref *refusal, again bool) {
+// awaitClaim answers a request whose key another request holds: with the
+// recorded outcome, or with a refusal when the run in progress does not end
+// before the request's deadline. retry reports that the claim must be tried
+// again.
+func (e *Entry) awaitClaim(ctx context.Context, c echo.Context, j *job, cl *state.Claim) (ref *refusal, retry bool) {
 	switch cl.Phase {
 	case state.ClaimAnswered:
 		return replay(c, cl.Answer), false
 	case state.ClaimUnknown:
 		return unknown("outcome_unknown", "the request under this key may have run"), false
 	}
-	if time.Now().Add(claimPoll).After(j.startBy) {
+	if time.Now().Add(claimInterval).After(j.startBy) {
 		return &refusal{outcome: NotRun, status: http.StatusConflict, kind: kindRequest, code: "in_progress", message: "a request under this key is in progress", retryAfter: time.Second}, false
 	}
-	pause(ctx, claimPoll)
+	pause(ctx, claimInterval)
 	if ctx.Err() != nil {
-		return e.left(ctx), false
+		return e.contextRefusal(ctx), false
 	}
 	return nil, true
 }
--- a/internal/app/entry/decode_test.go
+++ b/internal/app/entry/decode_test.go
@@ -7,8 +7,8 @@
 	"github.com/cassiapass/cassiapass/internal/core/ident"
 )
 
-// FuzzCompletion looks for request bodies that stop the process or lose the
-// caller's fields. Its corpus runs in CI.
+// FuzzCompletion looks for request bodies that crash the process or lose fields
+// of the caller. Its corpus runs in CI.
 func FuzzCompletion(f *testing.F) {
 	for _, s := range []string{
 		`{"model":"m","messages":[]}`, `{"model":"m@1:a@2","messages":[{"role":"user","content":"x"}],"stream":true,"temperature":0.5}`,
--- a/internal/app/entry/entry.go
+++ b/internal/app/entry/entry.go
@@ -18,7 +18,7 @@
 	"github.com/cassiapass/cassiapass/internal/wire"
 )
 
-// Config is what an entry is made from.
+// Config configures an Entry.
 type Config struct {
 	Host     ident.HostID
 	Zone     ident.Zone
@@ -29,24 +29,25 @@
 
 	MaxBody     int64         // bytes of a request body
 	MaxRequests int           // requests in progress; more are refused as not run
-	MaxDuration time.Duration // longest time that one request may take
-	Window      int           // bytes of an answer that wait for a slow caller
-	WriteWait   time.Duration // a caller that takes no byte for this long is cut off
+	MaxDuration time.Duration // longest duration of one request
+	Window      int           // bytes of an answer buffered for a slow caller
+	WriteWait   time.Duration // a caller that reads nothing for this long is disconnected
 	RetryShare  float64       // retries allowed per request
 	RetryBurst  float64
-	RateBurst   time.Duration // sold rate that may be used at once
+	RateBurst   time.Duration // this long of a customer's rate may be used at once
 	Unsafe      Unsafe        // never set outside tests
 	Incarnation ident.Incarnation
 }
 
-// Unsafe names a safeguard that tests turn off to show that the checks notice.
+// Unsafe names a safeguard that tests turn off to show that the checks detect
+// its absence.
 type Unsafe string
 
 // The safeguards that tests can turn off.
 const (
 	UnsafeNone  Unsafe = ""
 	UnsafeClaim Unsafe = "no-claim"      // idempotency keys are not claimed
-	UnsafeRetry Unsafe = "retry-unknown" // a request in doubt is sent again
+	UnsafeRetry Unsafe = "retry-unknown" // a request that may have run is sent again
 )
 
 // DefaultConfig returns the bounds measured in docs/CAPACITY.md.
@@ -59,152 +60,155 @@
 
 // Entry is one running entry.
 type Entry struct {
-	cfg      Config
-	follower *follow.Follower
-	count    *rpc.Counter
-	met      *metrics
-	pool     *pool
-	rooms    *rooms
-	recent   *recent
-	seen     *seen
-	stopSeen context.CancelFunc
-	prefix   string // of request ids, new at each start
-	nextID   atomic.Uint64
-	stopping atomic.Bool
-	cut      chan struct{} // closed when a planned stop's time limit has passed
-	cutOnce  sync.Once
-
-	mu     sync.Mutex
-	table  *routing.Table
-	budget *limit.Budget
-	rates  *limit.Rates
-	known  map[ident.HostID]ident.Incarnation
-
-	accounts accounts
+	cfg         Config
+	follower    *follow.Follower
+	count       *rpc.Counter
+	met         *metrics
+	pool        *pool
+	waitlists   *waitlists
+	recent      *recent
+	suspects    *suspects
+	stopReports context.CancelFunc
+	idPrefix    string // of request ids; differs for each incarnation
+	nextID      atomic.Uint64
+	stopping    atomic.Bool
+	abort       chan struct{} // closed when the time limit of Drain has passed, or by Close
+	abortOnce   sync.Once
+
+	mu           sync.Mutex
+	table        *routing.Table
+	budget       *limit.Budget
+	rates        *limit.Rates
+	incarnations map[ident.HostID]ident.Incarnation
+
+	requests requestCounts
 }
 
-// accounts checks that no request is lost: every one that came in has ended or
-// is in progress.
-type accounts struct {
-	mu       sync.Mutex
-	in, out  uint64
-	progress uint64
+// requestCounts counts requests and checks that none is lost: every request that
+// arrived has ended or is in progress.
+type requestCounts struct {
+	mu             sync.Mutex
+	arrived, ended uint64
+	active         uint64
 }
 
-func (a *accounts) begin(limit int) bool {
+func (a *requestCounts) begin(limit int) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.progress >= uint64(limit) {
+	if a.active >= uint64(limit) {
 		return false
 	}
-	a.in++
-	a.progress++
+	a.arrived++
+	a.active++
 	return true
 }
 
-func (a *accounts) end() {
+func (a *requestCounts) end() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.out++
-	a.progress--
-	if a.in != a.out+a.progress {
+	a.ended++
+	a.active--
+	if a.arrived != a.ended+a.active {
 		panic("invariant: entry: a request was lost between its arrival and its end")
 	}
 }
 
-func (a *accounts) inProgress() int {
+func (a *requestCounts) inProgress() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return int(a.progress)
+	return int(a.active)
 }
 
-// New starts an entry.
+// New creates and starts an Entry.
 func New(cfg Config) *Entry {
 	if cfg.Incarnation == 0 {
 		cfg.Incarnation = ident.Incarnation(time.Now().UnixNano())
 	}
 	e := &Entry{
-		cfg: cfg, count: &rpc.Counter{}, recent: newRecent(), seen: newSeen(), cut: make(chan struct{}),
-		table:  routing.New(routing.DefaultConfig(cfg.Zone, rand.IntN)),
-		budget: limit.NewBudget(cfg.RetryShare, cfg.RetryBurst),
-		rates:  limit.NewRates(cfg.RateBurst),
-		known:  map[ident.HostID]ident.Incarnation{},
-		prefix: string(cfg.Host) + "-" + encodeIncarnation(cfg.Incarnation) + "-",
+		cfg: cfg, count: &rpc.Counter{}, recent: newRecent(), suspects: newSuspects(), abort: make(chan struct{}),
+		table:        routing.New(routing.DefaultConfig(cfg.Zone, rand.IntN)),
+		budget:       limit.NewBudget(cfg.RetryShare, cfg.RetryBurst),
+		rates:        limit.NewRates(cfg.RateBurst),
+		incarnations: map[ident.HostID]ident.Incarnation{},
+		idPrefix:     string(cfg.Host) + "-" + encodeIncarnation(cfg.Incarnation) + "-",
 	}
 	e.met = newMetrics(e)
-	e.pool = newPool(cfg.Security, e.count, e.onPart)
-	e.rooms = newRooms(e)
+	e.pool = newPool(cfg.Security, e.count, e.onMessage)
+	e.waitlists = newWaitlists(e)
 	e.follower = follow.New(follow.Config{
 		Process: wire.Process{Role: wire.RoleEntry, Host: cfg.Host, Incarnation: cfg.Incarnation},
 		Group:   cfg.Group, Control: cfg.Control, Security: cfg.Security, Count: e.count, Log: cfg.Log,
 		Changed: e.changed,
 	})
 	e.follower.Start()
-	go e.rooms.run()
-	ctx, cancel := context.WithCancel(context.Background())
-	e.stopSeen = cancel
-	go e.noteSeen(ctx)
+	go e.waitlists.run()
+	reportCtx, cancel := context.WithCancel(context.Background())
+	e.stopReports = cancel
+	go e.reportLoop(reportCtx)
 	cfg.Log.Info().Uint64("incarnation", uint64(cfg.Incarnation)).Str("zone", string(cfg.Zone)).Msg("entry_started")
 	return e
 }
 
-// changed wakes what waits for a replica and forgets what was known of agents
-// that were replaced.
+// changed is called after each change of the view. It resets the routing state
+// of agents with a new incarnation, removes that of agents no longer listed, reports
+// quarantined requests that were answered here, and wakes requests that wait for
+// a replica.
 func (e *Entry) changed() {
 	e.mu.Lock()
 	e.follower.Read(func(v *view.View) {
 		for h, ep := range v.Endpoints() {
-			if e.known[h] != ep.Incarnation {
-				e.known[h] = ep.Incarnation
+			if e.incarnations[h] != ep.Incarnation {
+				e.incarnations[h] = ep.Incarnation
 				e.table.Renewed(h)
 			}
 		}
-		for h := range e.known {
+		for h := range e.incarnations {
 			if _, ok := v.Endpoint(h); !ok {
-				delete(e.known, h)
+				delete(e.incarnations, h)
 				e.table.Forget(h)
 			}
 		}
 	})
 	e.mu.Unlock()
-	e.seen.object(time.Now(), e.registry())
-	e.rooms.wake()
+	e.suspects.liftAnswered(time.Now(), e.registry())
+	e.waitlists.wake()
 }
 
-// Ready reports whether requests should be sent here.
+// Ready reports whether requests should be sent to this entry.
 func (e *Entry) Ready() bool { return !e.stopping.Load() && e.follower.Ready() }
 
-// newRequestID returns an id that is unique over all entries and restarts.
+// newRequestID returns an id that is unique across all entries and restarts.
 func (e *Entry) newRequestID() ident.RequestID {
-	return ident.RequestID(e.prefix + encodeNumber(e.nextID.Add(1)))
+	return ident.RequestID(e.idPrefix + encodeNumber(e.nextID.Add(1)))
 }
 
-// Retire makes the entry not ready, so that the balancer sends nothing more.
+// Retire makes the entry not ready, so that the load balancer stops sending it
+// requests.
 func (e *Entry) Retire() { e.stopping.Store(true) }
 
-// Drain waits until no request is in progress, at most until ctx ends; then it
-// ends the rest with a typed outcome.
+// Drain waits until no request is in progress. When ctx ends first, it ends the
+// remaining requests, each with an outcome.
 func (e *Entry) Drain(ctx context.Context) {
-	t := time.NewTicker(drainPoll)
+	t := time.NewTicker(drainInterval)
 	defer t.Stop()
-	for e.accounts.inProgress() > 0 {
+	for e.requests.inProgress() > 0 {
 		select {
 		case <-t.C:
 		case <-ctx.Done():
-			e.cutOnce.Do(func() { close(e.cut) })
+			e.abortOnce.Do(func() { close(e.abort) })
 			ctx = context.Background()
 		}
 	}
 }
 
-const drainPoll = 20 * time.Millisecond
+const drainInterval = 20 * time.Millisecond
 
-// Close stops the entry. Requests in progress are cut; Drain comes first.
+// Close stops the entry and aborts requests in progress; call Drain first.
 func (e *Entry) Close() {
 	e.stopping.Store(true)
-	e.cutOnce.Do(func() { close(e.cut) })
-	e.rooms.stop()
-	e.stopSeen()
+	e.abortOnce.Do(func() { close(e.abort) })
+	e.waitlists.stop()
+	e.stopReports()
 	e.follower.Stop()
 	e.pool.close()
 	e.cfg.Log.Info().Msg("entry_stopped")
--- a/internal/app/entry/job.go
+++ b/internal/app/entry/job.go
@@ -15,92 +15,94 @@
 	"github.com/cassiapass/cassiapass/internal/wire"
 )
 
-// job is one request on its way to its outcome.
+// job is one request in progress.
 type job struct {
 	id          ident.RequestID
 	service     string // record
 	customer    record.Customer
 	target      ident.Target
-	plain       string // plain service instead of a target
+	plain       string // name of the plain service; "" if target is set
 	method      string
 	path        string
 	contentType string
 	body        []byte
 	repeatable  bool
 	claim       *state.ClaimKey
-	startBy     time.Time // latest start of the answer
+	startBy     time.Time // deadline for the start of the answer
 	endBy       time.Time
 	prefix      uint64
 	sink        sink
 
-	attempts  uint32
-	retries   int
-	stale     int // times refused for an old configuration
-	tried     []ident.HostID
-	ran       bool // it may have run
-	busyUntil map[ident.HostID]time.Time
-	noRoom    time.Time // since when control sees no room for the target
-	trace     []Try
+	attempts      uint32
+	retries       int
+	configRetries int // times that an agent refused it for an old configuration
+	tried         []ident.HostID
+	mayHaveRun    bool // an attempt ended as unknown
+	busyUntil     map[ident.HostID]time.Time
+	noMemorySince time.Time // since when control reports no memory for the target; zero if it does not
+	trace         []AttemptSummary
 }
 
-// Try is one attempt as shown to operators.
-type Try struct {
+// AttemptSummary describes one attempt to operators.
+type AttemptSummary struct {
 	Host   ident.HostID  `json:"host"`
 	State  wire.RunState `json:"state"`
 	Reason string        `json:"reason,omitempty"`
 }
 
-// sink is where an answer goes.
+// sink writes an answer to the caller.
 type sink interface {
 	head(h wire.Head) error
 	write(p []byte) error
 	finish() error
-	// delivered reports whether the caller has received a part: from then on
-	// no other attempt can take over.
+	// delivered reports whether part of the answer was sent to the caller. If
+	// so, no other attempt can replace this one.
 	delivered() bool
 }
 
 const (
-	maxStale     = 5 // configuration catch-ups within one request
-	backoffFirst = 25 * time.Millisecond
-	backoffMost  = time.Second
-	roomPatience = 2 * time.Second // how long "no endpoint has room" is waited out
+	maxConfigRetries = 5 // refusals for an old configuration within one request
+	backoffInitial   = 25 * time.Millisecond
+	backoffMax       = time.Second
+	maxNoMemoryWait  = 2 * time.Second // a request is refused when control reports no memory for longer than this
 )
 
-// run brings a job to its outcome. A nil result means answered.
+// run sends a job to endpoints until it has an outcome. A nil result means
+// answered.
 func (e *Entry) run(ctx context.Context, j *job) *refusal {
-	e.withTable(func() { e.budget.Request() })
+	e.locked(func() { e.budget.Request() })
 	for {
-		if ref := e.quarantined(j); ref != nil {
-			if j.ran {
+		if ref := e.quarantineRefusal(j); ref != nil {
+			if j.mayHaveRun {
 				return unknown("outcome_unknown", "an engine ended while it ran the request, and it is not run again")
 			}
 			return ref
 		}
 		c, ep, ok := e.pick(j)
 		if !ok {
-			if ref := e.await(ctx, j); ref != nil {
+			if ref := e.waitForEndpoint(ctx, j); ref != nil {
 				return ref
 			}
 			continue
 		}
-		v := e.attempt(ctx, j, c, ep)
-		j.trace = append(j.trace, Try{Host: c.Host, State: v.state, Reason: v.reason})
-		j.ran = j.ran || v.state == wire.RunUnknown
-		e.learn(j, v)
-		if v.final != nil {
-			return v.final
+		r := e.attempt(ctx, j, c, ep)
+		j.trace = append(j.trace, AttemptSummary{Host: c.Host, State: r.state, Reason: r.reason})
+		j.mayHaveRun = j.mayHaveRun || r.state == wire.RunUnknown
+		e.recordResult(j, r)
+		if r.final != nil {
+			return r.final
 		}
-		if v.state == wire.RunAccepted {
+		if r.state == wire.RunAccepted {
 			return nil
 		}
-		if ref := e.again(ctx, j, c, v); ref != nil {
+		if ref := e.retryOrRefuse(ctx, j, c, r); ref != nil {
 			return ref
 		}
 	}
 }
 
-func (e *Entry) withTable(f func()) {
+// locked calls f with e.mu held.
+func (e *Entry) locked(f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f()
@@ -112,14 +114,14 @@
 	cands, eps := e.candidates(j, now)
 	var c routing.Candidate
 	var ok bool
-	e.withTable(func() { c, ok = e.table.Pick(now, cands, j.prefix, j.tried) })
+	e.locked(func() { c, ok = e.table.Pick(now, cands, j.prefix, j.tried) })
 	if !ok || slices.Contains(j.tried, c.Host) {
 		return c, state.Endpoint{}, false
 	}
 	return c, eps[c.Host], true
 }
 
-// candidates lists the endpoints that are ready for the job and not known to
+// candidates returns the endpoints that are ready for the job and not known to
 // be full.
 func (e *Entry) candidates(j *job, now time.Time) ([]routing.Candidate, map[ident.HostID]state.Endpoint) {
 	var out []routing.Candidate
@@ -145,52 +147,54 @@
 	return preferUp(out, eps), eps
 }
 
-// preferUp leaves out endpoints whose lease ended, unless nothing else is left:
-// the lease says that control cannot hear the agent, which may still serve.
+// preferUp removes endpoints whose lease has expired, unless none would remain:
+// an expired lease means that control receives no messages from the agent, which
+// may still serve requests.
 func preferUp(cs []routing.Candidate, eps map[ident.HostID]state.Endpoint) []routing.Candidate {
-	up := slices.DeleteFunc(slices.Clone(cs), func(c routing.Candidate) bool { return !eps[c.Host].Up })
-	if len(up) > 0 {
-		return up
+	withLease := slices.DeleteFunc(slices.Clone(cs), func(c routing.Candidate) bool { return !eps[c.Host].Up })
+	if len(withLease) > 0 {
+		return withLease
 	}
 	return cs
 }
 
-// again decides whether a job whose attempt did not succeed goes on. It returns
-// nil if so.
-func (e *Entry) again(ctx context.Context, j *job, c routing.Candidate, v verdict) *refusal {
-	if v.state == wire.RunUnknown && e.cfg.Unsafe != UnsafeRetry && (!j.repeatable || j.sink.delivered()) {
-		return unknown("outcome_unknown", "the request may have run: "+v.reason)
+// retryOrRefuse decides whether to retry a job whose attempt did not succeed. It
+// returns nil to retry, or the refusal that ends the job.
+func (e *Entry) retryOrRefuse(ctx context.Context, j *job, c routing.Candidate, r attemptResult) *refusal {
+	if r.state == wire.RunUnknown && e.cfg.Unsafe != UnsafeRetry && (!j.repeatable || j.sink.delivered()) {
+		return unknown("outcome_unknown", "the request may have run: "+r.reason)
 	}
-	if v.reason == reasonOldConfig {
-		return e.catchUp(j, v)
+	if r.reason == reasonOldConfig {
+		return e.catchUp(j, r)
 	}
 	now := time.Now()
-	if v.retryAfter > 0 {
-		// Full, not broken: other endpoints are tried, and this one again
-		// when it expects to have room.
+	if r.retryAfter > 0 {
+		// The endpoint is full, not failing: other endpoints are tried, and this
+		// one again when it expects to have free capacity.
 		if j.busyUntil == nil {
 			j.busyUntil = map[ident.HostID]time.Time{}
 		}
-		j.busyUntil[c.Host] = now.Add(v.retryAfter)
+		j.busyUntil[c.Host] = now.Add(r.retryAfter)
 		return nil
 	}
 	j.tried = append(j.tried, c.Host)
 	j.retries++
-	// The budget bounds what endpoints get beyond first attempts. One that
-	// could not be reached got nothing: counting it would refuse a request for
-	// a model whose only host is gone before control has placed the next
-	// replica, though there is time left.
-	allowed := v.unsent
+	// The retry budget limits the attempts that endpoints receive beyond the
+	// first ones. An endpoint that could not be reached received nothing. If such
+	// an attempt counted, a request for a model whose only host is lost would be
+	// refused before control has placed the next replica, although there is time
+	// left.
+	allowed := r.notSent
 	if !allowed {
-		e.withTable(func() { allowed = e.budget.Retry() })
+		e.locked(func() { allowed = e.budget.Retry() })
 	}
 	if !allowed {
 		e.met.budgetEmpty.Inc()
-		return e.giveUp(v, "retry_budget_used_up")
+		return e.giveUp(r, "retry_budget_used_up")
 	}
-	pause := limit.Backoff(j.retries, backoffFirst, backoffMost, randN)
+	pause := limit.Backoff(j.retries, backoffInitial, backoffMax, randN)
 	if now.Add(pause).After(j.startBy) {
-		return e.giveUp(v, "deadline_past")
+		return e.giveUp(r, "deadline_past")
 	}
 	e.met.retries.Inc()
 	select {
@@ -202,21 +206,21 @@
 
 const reasonOldConfig = "old_config"
 
-// giveUp ends a job whose last attempt ended with v.
-func (e *Entry) giveUp(v verdict, code string) *refusal {
-	if v.state == wire.RunUnknown {
-		return unknown(code, "the request may have run: "+v.reason)
+// giveUp returns the refusal of a job whose last attempt ended with r.
+func (e *Entry) giveUp(r attemptResult, code string) *refusal {
+	if r.state == wire.RunUnknown {
+		return unknown(code, "the request may have run: "+r.reason)
 	}
-	return notRun(code, "the request did not run: "+v.reason, 0)
+	return notRun(code, "the request did not run: "+r.reason, 0)
 }
 
-// catchUp takes in the records that an agent handed over and checks the request
-// against them: it must not run under a configuration that was replaced.
-func (e *Entry) catchUp(j *job, v verdict) *refusal {
+// catchUp applies the records that an agent sent with its refusal and checks the
+// request against them: it must not run under a configuration that was replaced.
+func (e *Entry) catchUp(j *job, r attemptResult) *refusal {
 	e.met.catchUps.Inc()
-	e.follower.TakeRecords(v.records)
-	j.stale++
-	if j.stale > maxStale {
+	e.follower.TakeRecords(r.records)
+	j.configRetries++
+	if j.configRetries > maxConfigRetries {
 		return notRun("configuration_changing", "the configuration changes faster than this entry follows", 0)
 	}
 	allowed := false
@@ -229,8 +233,8 @@
 			allowed = allowed || svc.Customers[i].Name == j.customer.Name
 		}
 		if j.plain == "" {
-			_, _, stated := svc.Resolve(j.target)
-			allowed = allowed && stated
+			_, _, resolved := svc.Resolve(j.target)
+			allowed = allowed && resolved
 		}
 	})
 	if !allowed {
@@ -239,30 +243,30 @@
 	return nil
 }
 
-// await waits until an endpoint may serve the job. It returns the refusal of a
-// request that cannot start in time, as soon as that is known.
-func (e *Entry) await(ctx context.Context, j *job) *refusal {
+// waitForEndpoint waits until an endpoint may serve the job. It returns a refusal
+// as soon as it is known that the request cannot start in time.
+func (e *Entry) waitForEndpoint(ctx context.Context, j *job) *refusal {
 	w := &waiter{service: j.service, customer: j.customer.Name, priority: j.customer.Priority, deadline: j.startBy, wake: make(chan struct{}, 1)}
 	e.met.waiting.Add(1)
 	defer e.met.waiting.Add(-1)
 	if j.plain == "" {
-		e.rooms.enter(j.target, w)
-		defer e.rooms.leave(j.target, w)
+		e.waitlists.add(j.target, w)
+		defer e.waitlists.remove(j.target, w)
 	}
 	j.tried = nil
 	for {
 		now := time.Now()
-		if ref := e.hopeless(j, now); ref != nil {
+		if ref := e.cannotStartInTime(j, now); ref != nil {
 			return ref
 		}
-		poll := time.NewTimer(awaitPoll)
+		poll := time.NewTimer(waitInterval)
 		select {
 		case <-w.wake:
 		case <-poll.C:
 		case <-ctx.Done():
 			poll.Stop()
-			return e.left(ctx)
-		case <-e.cut:
+			return e.contextRefusal(ctx)
+		case <-e.abort:
 			poll.Stop()
 			return notRun("stopping", "this entry is stopping", 0)
 		}
@@ -273,64 +277,68 @@
 	}
 }
 
-const awaitPoll = 100 * time.Millisecond
+const waitInterval = 100 * time.Millisecond
 
-// left ends a request whose caller went away or whose time is up while waiting.
-func (e *Entry) left(ctx context.Context) *refusal {
+// contextRefusal returns the refusal of a request that did not run before ctx
+// ended: its deadline passed, or the caller closed the connection.
+func (e *Entry) contextRefusal(ctx context.Context) *refusal {
 	if context.Cause(ctx) == context.DeadlineExceeded {
 		return notRun("deadline_past", "the request could not start in time", 0)
 	}
 	return &refusal{outcome: NotRun, status: statusClientClosed, kind: kindRequest, code: "caller_left", message: "the caller closed the connection"}
 }
 
-// statusClientClosed is written to logs only; nobody is left to read it.
+// statusClientClosed is never sent: the caller has closed the connection.
 const statusClientClosed = 499
 
-// hopeless returns the refusal of a waiting job that cannot start in time, or
-// nil while there is hope. Refusing early tells the caller when to come back.
-func (e *Entry) hopeless(j *job, now time.Time) *refusal {
+// cannotStartInTime returns the refusal of a waiting job that is not expected to
+// start before its deadline, or nil. An early refusal gives the caller a time to
+// retry after.
+func (e *Entry) cannotStartInTime(j *job, now time.Time) *refusal {
 	if !now.Before(j.startBy) {
 		return notRun("deadline_past", "the request could not start in time", e.retryAfter(j, now))
 	}
-	if next, all := soonest(j, now); all && next.After(j.startBy) {
+	if next, full := earliestFree(j, now); full && next.After(j.startBy) {
 		return notRun("overloaded", "every endpoint is full for longer than this request may wait", next.Sub(now))
 	}
 	if j.plain != "" {
 		return nil
 	}
-	in, reason, known := e.rooms.estimate(j.target, now)
+	in, reason, known := e.waitlists.estimate(j.target, now)
 	switch {
 	case !known:
 		return nil
 	case reason != "" && in == 0 && reason == placement.ReasonNoRoom:
-		if j.noRoom.IsZero() {
-			j.noRoom = now
+		if j.noMemorySince.IsZero() {
+			j.noMemorySince = now
 		}
-		if now.Sub(j.noRoom) > roomPatience {
-			return notRun("no_capacity", reason, noEstimate)
+		if now.Sub(j.noMemorySince) > maxNoMemoryWait {
+			return notRun("no_capacity", reason, defaultRetryAfter)
 		}
 	case now.Add(in).After(j.startBy):
 		return notRun("cannot_start_in_time", "the model is not expected to be ready in time: "+reason, in)
 	default:
-		j.noRoom = time.Time{}
+		j.noMemorySince = time.Time{}
 	}
 	return nil
 }
 
-// soonest returns when the first endpoint that refused for want of room expects
-// to have some.
-func soonest(j *job, now time.Time) (at time.Time, any bool) {
+// earliestFree returns the earliest time at which an endpoint that refused the
+// job because it was full expects to have free capacity; false if there is none.
+func earliestFree(j *job, now time.Time) (at time.Time, found bool) {
 	for _, t := range j.busyUntil {
-		if t.After(now) && (!any || t.Before(at)) {
-			at, any = t, true
+		if t.After(now) && (!found || t.Before(at)) {
+			at, found = t, true
 		}
 	}
-	return at, any
+	return at, found
 }
 
+// retryAfter returns when control expects a replica for the job, or
+// defaultRetryAfter if that is not known.
 func (e *Entry) retryAfter(j *job, now time.Time) time.Duration {
-	if in, _, known := e.rooms.estimate(j.target, now); known && in > 0 {
+	if in, _, known := e.waitlists.estimate(j.target, now); known && in > 0 {
 		return in
 	}
-	return noEstimate
+	return defaultRetryAfter
 }
--- a/internal/app/entry/ops.go
+++ b/internal/app/entry/ops.go
@@ -18,7 +18,7 @@
 type metrics struct {
 	set                                                     *vm.Set
 	attempts, retries, resubmits, resumes, gaps, duplicates *vm.Counter
-	late, catchUps, demands, budgetEmpty                    *vm.Counter
+	lateParts, catchUps, demands, budgetEmpty               *vm.Counter
 	seconds, claimSeconds                                   *vm.Summary
 	waiting                                                 atomic.Int64
 }
@@ -33,7 +33,7 @@
 		resumes:      s.NewCounter("cassiapass_entry_resumes_total"),
 		gaps:         s.NewCounter("cassiapass_entry_answer_gaps_total"),
 		duplicates:   s.NewCounter("cassiapass_entry_duplicate_parts_total"),
-		late:         s.NewCounter("cassiapass_entry_late_parts_total"),
+		lateParts:    s.NewCounter("cassiapass_entry_late_parts_total"),
 		catchUps:     s.NewCounter("cassiapass_entry_config_catch_ups_total"),
 		demands:      s.NewCounter("cassiapass_entry_demands_total"),
 		budgetEmpty:  s.NewCounter("cassiapass_entry_retry_budget_empty_total"),
@@ -41,7 +41,7 @@
 		claimSeconds: s.NewSummary("cassiapass_entry_claim_seconds"),
 	}
 	s.NewGauge("cassiapass_entry_waiting", func() float64 { return float64(m.waiting.Load()) })
-	s.NewGauge("cassiapass_entry_in_progress", func() float64 { return float64(e.accounts.inProgress()) })
+	s.NewGauge("cassiapass_entry_in_progress", func() float64 { return float64(e.requests.inProgress()) })
 	opshttp.CountBytes(s, e.count)
 	return m
 }
@@ -50,34 +50,34 @@
 	m.set.GetOrCreateCounter(`cassiapass_entry_outcomes_total{outcome="` + string(o) + `",code="` + code + `"}`).Inc()
 }
 
-// Ended is one finished request as shown to operators.
-type Ended struct {
-	Request  ident.RequestID `json:"request"`
-	Service  string          `json:"service"`
-	Customer ident.Customer  `json:"customer"`
-	Target   string          `json:"target"`
-	Outcome  Outcome         `json:"outcome"`
-	Code     string          `json:"code,omitempty"`
-	Message  string          `json:"message,omitempty"`
-	Tries    []Try           `json:"tries"`
-	At       time.Time       `json:"at"`
-	Seconds  float64         `json:"seconds"`
+// RequestSummary describes one finished request to operators.
+type RequestSummary struct {
+	Request  ident.RequestID  `json:"request"`
+	Service  string           `json:"service"`
+	Customer ident.Customer   `json:"customer"`
+	Target   string           `json:"target"`
+	Outcome  Outcome          `json:"outcome"`
+	Code     string           `json:"code,omitempty"`
+	Message  string           `json:"message,omitempty"`
+	Tries    []AttemptSummary `json:"tries"`
+	At       time.Time        `json:"at"`
+	Seconds  float64          `json:"seconds"`
 }
 
 const keptRequests = 1024
 
-// recent keeps the last finished requests, so that "why was this refused" can
-// be answered by request id.
+// recent keeps the last keptRequests finished requests, so that operators can
+// look up by request id why a request was refused.
 type recent struct {
 	mu   sync.Mutex
-	byID map[ident.RequestID]Ended
+	byID map[ident.RequestID]RequestSummary
 	ring [keptRequests]ident.RequestID
 	next int
 }
 
-func newRecent() *recent { return &recent{byID: map[ident.RequestID]Ended{}} }
+func newRecent() *recent { return &recent{byID: map[ident.RequestID]RequestSummary{}} }
 
-func (r *recent) add(e Ended) {
+func (r *recent) add(e RequestSummary) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.byID, r.ring[r.next])
@@ -86,14 +86,14 @@
 	r.next = (r.next + 1) % keptRequests
 }
 
-func (r *recent) find(id ident.RequestID) (Ended, bool) {
+func (r *recent) find(id ident.RequestID) (RequestSummary, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e, ok := r.byID[id]
 	return e, ok
 }
 
-// debugState is what /debug/state shows.
+// debugState is the response body of /debug/state.
 type debugState struct {
 	Host       ident.HostID `json:"host"`
 	Ready      bool         `json:"ready"`
@@ -106,18 +106,18 @@
 	Replicas   int          `json:"replicas"`
 }
 
-// Config returns the configuration index in force here.
+// Config returns the index of the configuration that this entry holds.
 func (e *Entry) Config() ident.Index {
 	var i ident.Index
 	e.follower.Read(func(v *view.View) { i = v.Config() })
 	return i
 }
 
-// Ops returns the operators' HTTP interface.
+// Ops returns the HTTP interface for operators.
 func (e *Entry) Ops() *echo.Echo {
-	x := opshttp.New(e.whyNotReady, e.met.set)
+	x := opshttp.New(e.checkReady, e.met.set)
 	x.GET("/debug/state", func(c echo.Context) error {
-		d := debugState{Host: e.cfg.Host, Ready: e.Ready(), Entries: e.follower.Entries(), InProgress: e.accounts.inProgress(), Waiting: e.met.waiting.Load()}
+		d := debugState{Host: e.cfg.Host, Ready: e.Ready(), Entries: e.follower.Entries(), InProgress: e.requests.inProgress(), Waiting: e.met.waiting.Load()}
 		e.follower.Read(func(v *view.View) {
 			d.Index, d.Config, d.Endpoints, d.Replicas = v.Index(), v.Config(), len(v.Endpoints()), len(v.Replicas())
 		})
--- a/internal/app/entry/outcome.go
+++ b/internal/app/entry/outcome.go
@@ -22,13 +22,13 @@
 const (
 	HeaderOutcome  = "Cassiapass-Outcome"
 	HeaderRequest  = "X-Request-Id"
-	HeaderReplayed = "Cassiapass-Replayed" // the recorded answer to an earlier request under the same key
-	HeaderDeadline = "Cassiapass-Deadline" // seconds; asked by the caller, never later than the record's
+	HeaderReplayed = "Cassiapass-Replayed" // the answer was recorded for an earlier request with the same key
+	HeaderDeadline = "Cassiapass-Deadline" // seconds; set by the caller, cannot extend the record's
 	HeaderKey      = "Idempotency-Key"
 )
 
-// refusal is an answer that the entry gives itself. Outcomes are values: every
-// place that ends a request returns one.
+// refusal is an error response that the entry generates. Every function that
+// ends a request without passing on an engine's answer returns one.
 type refusal struct {
 	outcome    Outcome
 	status     int
@@ -39,7 +39,7 @@
 	retryAfter time.Duration
 }
 
-// errorBody is the usual error body of that API.
+// errorBody is the error body of the OpenAI API.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -59,7 +59,7 @@
 	return errorBody{Error: d}
 }
 
-// write sends the refusal to a caller who has received nothing yet.
+// write sends the refusal to a caller that has received nothing yet.
 func (r *refusal) write(x echo.Context) error {
 	h := x.Response().Header()
 	h.Set(HeaderOutcome, string(r.outcome))
@@ -82,12 +82,13 @@
 	return &refusal{outcome: NotRun, status: http.StatusBadRequest, kind: kindRequest, code: "invalid_value", param: param, message: message}
 }
 
-// notRun is a refusal of a request that did not run, with the time after which
-// it is worth to come back.
+// notRun returns the refusal of a request that did not run. The caller may retry
+// after retryAfter, which is at least one second.
 func notRun(code, message string, retryAfter time.Duration) *refusal {
 	return &refusal{outcome: NotRun, status: http.StatusServiceUnavailable, kind: kindServer, code: code, message: message, retryAfter: max(retryAfter, time.Second)}
 }
 
+// unknown returns the refusal of a request that may have run.
 func unknown(code, message string) *refusal {
 	return &refusal{outcome: Unknown, status: http.StatusBadGateway, kind: kindServer, code: code, message: message}
 }
--- a/internal/app/entry/poison.go
+++ b/internal/app/entry/poison.go
@@ -13,106 +13,108 @@
 )
 
 const (
-	// seenGather is how long what was seen gathers before it is noted: up to 64 requests
-	// break off with one engine.
-	seenGather = 3 * time.Millisecond
-	// seenTimeout bounds one note, and seenPause follows one that failed.
-	seenTimeout = 2 * time.Second
-	seenPause   = 200 * time.Millisecond
-	// mostSeen bounds what waits to be noted while control is out of reach.
-	mostSeen = 1024
+	// reportDelay is the time for which reports are collected before they are committed: up
+	// to 64 requests fail when one engine ends.
+	reportDelay = 3 * time.Millisecond
+	// reportTimeout limits one commit, and reportRetry is the wait after a failed one.
+	reportTimeout = 2 * time.Second
+	reportRetry   = 200 * time.Millisecond
+	// maxPendingEnds limits the ends that wait to be committed while control is unreachable.
+	maxPendingEnds = 1024
 )
 
-// seen is what this entry saw of requests under which engines ended and that is not in the
-// log yet. The log counts for all entries together (package poison), and tells all which
-// requests are quarantined.
-type seen struct {
+// suspects collects reports on requests that were running when an engine ended, until they
+// are committed to the log. The log counts them over all entries (package poison) and
+// publishes which requests are quarantined.
+type suspects struct {
 	mu       sync.Mutex
 	answered *poison.Recent
-	under    *poison.Book // what this entry noted itself
-	note     poison.Note
+	book     *poison.Book // ends that this entry reported
+	pending  poison.Note
 	wake     chan struct{}
 }
 
-func newSeen() *seen {
-	return &seen{answered: poison.NewRecent(time.Now()), under: poison.NewBook(), wake: make(chan struct{}, 1)}
+func newSuspects() *suspects {
+	return &suspects{answered: poison.NewRecent(time.Now()), book: poison.NewBook(), wake: make(chan struct{}, 1)}
 }
 
-// ended notes that an engine ended under a request. One of many alike, of which others were
-// answered lately, is innocent.
-func (s *seen) ended(now time.Time, f poison.Fingerprint, start string) {
+// recordEnd records that an engine ended while it ran a request. It ignores a request if an
+// identical one was answered recently: such a request is not the cause.
+func (s *suspects) recordEnd(now time.Time, f poison.Fingerprint, incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := poison.End{Request: f, Start: start, Cold: s.answered.Cold(now)}
+	e := poison.End{Request: f, Start: incarnation, Cold: s.answered.Cold(now)}
 	if s.answered.Has(now, f) {
 		return
 	}
-	if news, _ := s.under.Ended(now, e); !news {
+	if added, _ := s.book.Ended(now, e); !added {
 		return
 	}
-	s.note.Ends = append(s.note.Ends, e)
-	s.note.Ends = s.note.Ends[max(0, len(s.note.Ends)-mostSeen):]
-	s.poke()
+	s.pending.Ends = append(s.pending.Ends, e)
+	s.pending.Ends = s.pending.Ends[max(0, len(s.pending.Ends)-maxPendingEnds):]
+	s.signal()
 }
 
-// survived notes a whole answer. Only what is suspect is told.
-func (s *seen) survived(now time.Time, f poison.Fingerprint) {
+// recordAnswer records that a request was answered completely. It is reported only if ends
+// were recorded for the request.
+func (s *suspects) recordAnswer(now time.Time, f poison.Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answered.Answered(now, f)
-	if s.under.Clear(f) {
-		s.note.Answered = append(s.note.Answered, f)
-		s.poke()
+	if s.book.Clear(f) {
+		s.pending.Answered = append(s.pending.Answered, f)
+		s.signal()
 	}
 }
 
-// object has quarantines lifted of requests that were answered here lately.
-func (s *seen) object(now time.Time, reg poison.Registry) {
+// liftAnswered reports quarantined requests that were answered here recently, so that their
+// quarantine is lifted.
+func (s *suspects) liftAnswered(now time.Time, reg poison.Registry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range reg.Cases {
 		if s.answered.Has(now, c.Request) {
-			s.note.Answered = append(s.note.Answered, c.Request)
-			s.poke()
+			s.pending.Answered = append(s.pending.Answered, c.Request)
+			s.signal()
 		}
 	}
 }
 
-// poke has the note written. The caller holds mu.
-func (s *seen) poke() {
+// signal wakes the loop that commits reports. The caller holds mu.
+func (s *suspects) signal() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// take returns what is to be noted.
-func (s *seen) take() poison.Note {
+// takePending returns the pending reports and clears them.
+func (s *suspects) takePending() poison.Note {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := s.note
-	s.note = poison.Note{}
+	n := s.pending
+	s.pending = poison.Note{}
 	return n
 }
 
-// noteSeen writes what was seen to the log until ctx ends.
-func (e *Entry) noteSeen(ctx context.Context) {
+// reportLoop commits pending reports to the log until ctx ends.
+func (e *Entry) reportLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.seen.wake:
+		case <-e.suspects.wake:
 		}
-		pause(ctx, seenGather)
-		n := e.seen.take()
-		for ctx.Err() == nil && !e.commitSeen(ctx, n) {
-			pause(ctx, seenPause)
+		pause(ctx, reportDelay)
+		n := e.suspects.takePending()
+		for ctx.Err() == nil && !e.commitReport(ctx, n) {
+			pause(ctx, reportRetry)
 		}
 	}
 }
 
-func (e *Entry) commitSeen(ctx context.Context, n poison.Note) bool {
-	ctx, cancel := context.WithTimeout(ctx, seenTimeout)
+func (e *Entry) commitReport(ctx context.Context, n poison.Note) bool {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	var res state.Result
 	cmd := state.Command{By: string(e.cfg.Host), Poison: &n}
@@ -123,25 +125,26 @@
 	return err == nil
 }
 
-// registry returns what is quarantined, as this entry knows.
+// registry returns the quarantined requests in this entry's view.
 func (e *Entry) registry() poison.Registry {
 	var reg poison.Registry
 	e.follower.Read(func(v *view.View) { reg = v.Poison() })
 	return reg
 }
 
-// drawKey notes a key for fingerprints, as the group has none; the first one noted counts.
-func (e *Entry) drawKey() {
+// generateKey proposes a random key for fingerprints, as the group has none. The first key that
+// is committed applies.
+func (e *Entry) generateKey() {
 	key := make(poison.Key, poison.KeySize)
 	_, _ = rand.Read(key) // never fails
-	e.seen.mu.Lock()
-	defer e.seen.mu.Unlock()
-	e.seen.note.Key = key
-	e.seen.poke()
+	e.suspects.mu.Lock()
+	defer e.suspects.mu.Unlock()
+	e.suspects.pending.Key = key
+	e.suspects.signal()
 }
 
-// fingerprint names the job by what an engine is given of it; false while the group has no
-// key.
+// fingerprint returns the job's fingerprint over everything that an engine receives of it;
+// false while the group has no key.
 func (j *job) fingerprint(key poison.Key) (poison.Fingerprint, bool) {
 	if len(key) == 0 {
 		return poison.Fingerprint{}, false
@@ -149,12 +152,13 @@
 	return key.Fingerprint([]byte(j.method), []byte(j.plain), []byte(j.path), []byte(j.contentType), j.body), true
 }
 
-// quarantined returns the refusal of a job under which engines ended, or nil.
-func (e *Entry) quarantined(j *job) *refusal {
+// quarantineRefusal returns the refusal of a job that is quarantined because engines ended
+// while they ran it, or nil.
+func (e *Entry) quarantineRefusal(j *job) *refusal {
 	reg := e.registry()
-	f, named := j.fingerprint(reg.Key)
-	if !named {
-		e.drawKey()
+	f, hasKey := j.fingerprint(reg.Key)
+	if !hasKey {
+		e.generateKey()
 		return nil
 	}
 	if !reg.Has(f) {
@@ -163,15 +167,15 @@
 	return notRun("quarantined", "endpoints ended each time that this request ran; it is tried again later", poison.QuarantineStays)
 }
 
-// learn takes in what an attempt tells of the request.
-func (e *Entry) learn(j *job, v verdict) {
-	f, named := j.fingerprint(e.registry().Key)
+// recordResult records whether an engine ended during the attempt or the request was answered.
+func (e *Entry) recordResult(j *job, r attemptResult) {
+	f, hasKey := j.fingerprint(e.registry().Key)
 	switch {
-	case !named:
-	case v.ended != "":
-		e.cfg.Log.Warn().Str("request", string(j.id)).Stringer("fingerprint", f).Str("ended", v.ended).Msg("engine_ended_under_request")
-		e.seen.ended(time.Now(), f, v.ended)
-	case v.state == wire.RunAccepted:
-		e.seen.survived(time.Now(), f)
+	case !hasKey:
+	case r.endedIncarnation != "":
+		e.cfg.Log.Warn().Str("request", string(j.id)).Stringer("fingerprint", f).Str("ended", r.endedIncarnation).Msg("engine_ended_under_request")
+		e.suspects.recordEnd(time.Now(), f, r.endedIncarnation)
+	case r.state == wire.RunAccepted:
+		e.suspects.recordAnswer(time.Now(), f)
 	}
 }
--- a/internal/app/entry/pool.go
+++ b/internal/app/entry/pool.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	idleClose  = 30 * time.Second
-	probeAfter = 500 * time.Millisecond // a connection with runs that is silent this long is probed
-	probeWait  = time.Second            // and taken for dead after this without an answer
-	dialWait   = time.Second            // to connect and prove the key
+	idleTimeout  = 30 * time.Second
+	silenceLimit = 500 * time.Millisecond // a connection with runs is probed after this long without a message
+	probeTimeout = time.Second            // a probed connection is closed if it does not answer within this
+	dialTimeout  = time.Second            // to connect and authenticate
 )
 
-// pool holds one connection per agent address, dialled when it is needed.
+// pool holds one connection per agent address, dialled on demand.
 type pool struct {
-	sec    rpc.Security
-	count  *rpc.Counter
-	onPart func(method string, raw json.RawMessage)
+	sec       rpc.Security
+	count     *rpc.Counter
+	onMessage func(method string, raw json.RawMessage)
 
 	mu    sync.Mutex
 	links map[string]*link
@@ -30,27 +30,28 @@
 	in    inbounds
 }
 
-// inbounds returns where parts of attempts are taken in.
+// inbounds returns the table of attempts that receive parts.
 func (p *pool) inbounds() *inbounds { return &p.in }
 
-// link is the connection to one agent, if any, and how many runs use it.
+// link is the connection to one agent, if any, with the number of runs that use
+// it.
 type link struct {
-	mu      sync.Mutex // never held during I/O
-	conn    *rpc.Conn
-	dialing *dial
-	users   int
-	used    time.Time
+	mu       sync.Mutex // never held during I/O
+	conn     *rpc.Conn
+	dialing  *dial
+	runs     int
+	lastUsed time.Time
 }
 
-// dial is an attempt to connect that every request for the same agent shares.
+// dial is a connection attempt, shared by all requests for the same agent.
 type dial struct {
 	done chan struct{}
 	conn *rpc.Conn
 	err  error
 }
 
-func newPool(sec rpc.Security, count *rpc.Counter, onPart func(string, json.RawMessage)) *pool {
-	p := &pool{sec: sec, count: count, onPart: onPart, links: map[string]*link{}, done: make(chan struct{})}
+func newPool(sec rpc.Security, count *rpc.Counter, onMessage func(string, json.RawMessage)) *pool {
+	p := &pool{sec: sec, count: count, onMessage: onMessage, links: map[string]*link{}, done: make(chan struct{})}
 	go p.watch()
 	return p
 }
@@ -84,9 +85,9 @@
 	if conn != nil {
 		return conn, nil
 	}
-	// All wait for the same dial, each within its own time. One after the
-	// other, a burst of requests for an endpoint that accepts connections but
-	// answers nothing would wait for as many timeouts.
+	// All requests wait for the same dial, each within its own time limit. If
+	// they dialled one after the other, a burst of requests for an endpoint that
+	// accepts connections but never answers would wait for as many timeouts.
 	select {
 	case <-d.done:
 		return d.conn, d.err
@@ -95,11 +96,12 @@
 	}
 }
 
-// open returns the open connection, or the dial under way.
+// open returns the open connection, or else the dial in progress, which it
+// starts if there is none.
 func (p *pool) open(l *link, addr string) (*rpc.Conn, *dial) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.used = time.Now()
+	l.lastUsed = time.Now()
 	if l.conn != nil {
 		select {
 		case <-l.conn.Closed():
@@ -115,10 +117,10 @@
 }
 
 func (p *pool) dial(l *link, d *dial, addr string) {
-	ctx, cancel := context.WithTimeout(context.Background(), dialWait)
+	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	d.conn, d.err = rpc.Dial(ctx, addr, p.sec, p.count, func(_ context.Context, _ *rpc.Conn, method string, raw json.RawMessage) (any, error) {
-		p.onPart(method, raw)
+		p.onMessage(method, raw)
 		return nil, nil
 	})
 	l.mu.Lock()
@@ -130,20 +132,22 @@
 	close(d.done)
 }
 
-// use counts runs on a connection: only those with runs are probed.
-func (p *pool) use(addr string, n int) {
+// addRuns adds n to the number of runs on a connection. Only connections with
+// runs are probed.
+func (p *pool) addRuns(addr string, n int) {
 	l := p.link(addr)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.users += n
-	l.used = time.Now()
+	l.runs += n
+	l.lastUsed = time.Now()
 }
 
-// watch probes connections with runs that went silent and closes unused ones.
-// A connection that something between the ends has lost track of stays silent
-// for good while new ones work; closing it makes its runs resume on a new one.
+// watch probes silent connections that have runs and closes unused ones. When a
+// middlebox drops the state of a connection, the connection stays silent
+// permanently while new ones work; closing it makes its runs resume on a new
+// one.
 func (p *pool) watch() {
-	t := time.NewTicker(probeAfter / 2)
+	t := time.NewTicker(silenceLimit / 2)
 	defer t.Stop()
 	for {
 		select {
@@ -169,27 +173,27 @@
 	if l.conn == nil {
 		return
 	}
-	if l.users == 0 {
-		if now.Sub(l.used) > idleClose {
+	if l.runs == 0 {
+		if now.Sub(l.lastUsed) > idleTimeout {
 			l.conn.Close()
 			l.conn = nil
 		}
 		return
 	}
-	if now.Sub(l.conn.Heard()) > probeAfter {
+	if now.Sub(l.conn.Heard()) > silenceLimit {
 		go probe(l.conn)
 	}
 }
 
 func probe(conn *rpc.Conn) {
-	ctx, cancel := context.WithTimeout(context.Background(), probeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	if err := conn.Call(ctx, wire.MethodPing, nil, nil); err != nil {
 		conn.Close()
 	}
 }
 
-// inbound is where the parts of one attempt arrive.
+// inbound queues the parts and the end received for one attempt.
 type inbound struct {
 	mu     sync.Mutex
 	parts  []wire.Part
@@ -203,24 +207,24 @@
 	in.mu.Lock()
 	in.parts = append(in.parts, p)
 	in.mu.Unlock()
-	in.poke()
+	in.signal()
 }
 
 func (in *inbound) finish(e wire.End) {
 	in.mu.Lock()
 	in.end = &e
 	in.mu.Unlock()
-	in.poke()
+	in.signal()
 }
 
-func (in *inbound) poke() {
+func (in *inbound) signal() {
 	select {
 	case in.notify <- struct{}{}:
 	default:
 	}
 }
 
-// take returns what has arrived since the last call.
+// take returns and removes what was received since the last call.
 func (in *inbound) take() ([]wire.Part, *wire.End) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -229,32 +233,32 @@
 	return parts, end
 }
 
-// inbounds finds the inbound of an attempt.
+// inbounds maps attempts to their inbound.
 type inbounds struct {
-	mu sync.RWMutex
-	m  map[ident.Attempt]*inbound
+	mu        sync.RWMutex
+	byAttempt map[ident.Attempt]*inbound
 }
 
 func (ib *inbounds) open(a ident.Attempt) *inbound {
 	ib.mu.Lock()
 	defer ib.mu.Unlock()
-	if ib.m == nil {
-		ib.m = map[ident.Attempt]*inbound{}
+	if ib.byAttempt == nil {
+		ib.byAttempt = map[ident.Attempt]*inbound{}
 	}
 	in := newInbound()
-	ib.m[a] = in
+	ib.byAttempt[a] = in
 	return in
 }
 
 func (ib *inbounds) close(a ident.Attempt) {
 	ib.mu.Lock()
 	defer ib.mu.Unlock()
-	delete(ib.m, a)
+	delete(ib.byAttempt, a)
 }
 
 func (ib *inbounds) find(a ident.Attempt) (*inbound, bool) {
 	ib.mu.RLock()
 	defer ib.mu.RUnlock()
-	in, ok := ib.m[a]
+	in, ok := ib.byAttempt[a]
 	return in, ok
 }
--- a/internal/app/entry/rooms.go
+++ b/internal/app/entry/rooms.go
@@ -12,28 +12,30 @@
 )
 
 const (
-	demandEvery   = 250 * time.Millisecond // a lost demand or leader costs one interval
-	demandTimeout = 2 * time.Second
-	noEstimate    = 5 * time.Second // Retry-After while control cannot tell
+	demandInterval    = 250 * time.Millisecond // a lost message or a change of leader delays a demand by one interval
+	demandTimeout     = 2 * time.Second
+	defaultRetryAfter = 5 * time.Second // Retry-After while control gives no estimate
 )
 
-// rooms hold the requests that wait for a replica, one room per target. All
-// requests in a room make one demand, however many they are.
-type rooms struct {
-	entry *Entry
-	mu    sync.Mutex
-	rooms map[ident.Target]*room
-	kick  chan struct{}
-	done  chan struct{}
-	once  sync.Once
+// waitlists holds the requests that wait for a replica, one waitlist per target.
+// Each waitlist is reported to control as one demand per customer, however many
+// requests it holds.
+type waitlists struct {
+	entry    *Entry
+	mu       sync.Mutex
+	byTarget map[ident.Target]*waitlist
+	added    chan struct{}
+	done     chan struct{}
+	stopOnce sync.Once
 }
 
-// room is where requests for one target wait.
-type room struct {
-	waiters map[*waiter]struct{}
-	est     wire.EstimateIn
-	estAt   time.Time
-	hasEst  bool
+// waitlist holds the requests that wait for one target, with the last estimate
+// from control.
+type waitlist struct {
+	waiters     map[*waiter]struct{}
+	estimated   wire.EstimateIn
+	estimatedAt time.Time
+	hasEstimate bool
 }
 
 // waiter is one waiting request.
@@ -45,63 +47,65 @@
 	wake     chan struct{}
 }
 
-func newRooms(e *Entry) *rooms {
-	return &rooms{entry: e, rooms: map[ident.Target]*room{}, kick: make(chan struct{}, 1), done: make(chan struct{})}
+func newWaitlists(e *Entry) *waitlists {
+	return &waitlists{entry: e, byTarget: map[ident.Target]*waitlist{}, added: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
-func (rs *rooms) stop() { rs.once.Do(func() { close(rs.done) }) }
+func (rs *waitlists) stop() { rs.stopOnce.Do(func() { close(rs.done) }) }
 
-// enter adds a waiter for target. The first one of a room is announced at once.
-func (rs *rooms) enter(t ident.Target, w *waiter) {
+// add adds a waiter for target t. The first waiter of a target triggers a demand
+// message at once.
+func (rs *waitlists) add(t ident.Target, w *waiter) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	r := rs.rooms[t]
+	r := rs.byTarget[t]
 	if r == nil {
-		r = &room{waiters: map[*waiter]struct{}{}}
-		rs.rooms[t] = r
+		r = &waitlist{waiters: map[*waiter]struct{}{}}
+		rs.byTarget[t] = r
 		select {
-		case rs.kick <- struct{}{}:
+		case rs.added <- struct{}{}:
 		default:
 		}
 	}
 	r.waiters[w] = struct{}{}
 }
 
-func (rs *rooms) leave(t ident.Target, w *waiter) {
+func (rs *waitlists) remove(t ident.Target, w *waiter) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	r := rs.rooms[t]
+	r := rs.byTarget[t]
 	delete(r.waiters, w)
 	if len(r.waiters) == 0 {
-		delete(rs.rooms, t)
+		delete(rs.byTarget, t)
 	}
 }
 
-// estimate returns when control expects a replica of t, from now on, and
-// whether that is known.
-func (rs *rooms) estimate(t ident.Target, now time.Time) (in time.Duration, reason string, known bool) {
+// estimate returns the time from now until control expects a replica of t to be
+// ready, the reason that control gives, and whether an estimate was received. in
+// is 0 if control could not estimate the time.
+func (rs *waitlists) estimate(t ident.Target, now time.Time) (in time.Duration, reason string, known bool) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	r := rs.rooms[t]
-	if r == nil || !r.hasEst {
+	r := rs.byTarget[t]
+	if r == nil || !r.hasEstimate {
 		return 0, "", false
 	}
-	if !r.est.Known {
-		return 0, r.est.Reason, true
+	if !r.estimated.Known {
+		return 0, r.estimated.Reason, true
 	}
-	return max(0, r.est.In-now.Sub(r.estAt)), r.est.Reason, true
+	return max(0, r.estimated.In-now.Sub(r.estimatedAt)), r.estimated.Reason, true
 }
 
-// wake wakes every waiter to look again.
-func (rs *rooms) wake() {
+// wake makes every waiter look for candidates again.
+func (rs *waitlists) wake() {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	for _, r := range rs.rooms {
+	for _, r := range rs.byTarget {
 		r.wake()
 	}
 }
 
-func (r *room) wake() {
+func (r *waitlist) wake() {
 	for w := range r.waiters {
 		select {
 		case w.wake <- struct{}{}:
@@ -110,48 +114,48 @@
 	}
 }
 
-// run sends the demands of all rooms, one message per interval.
-func (rs *rooms) run() {
-	t := time.NewTicker(demandEvery)
+// run sends the demands of all waitlists to control, one message per interval.
+func (rs *waitlists) run() {
+	t := time.NewTicker(demandInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-rs.done:
 			return
 		case <-t.C:
-		case <-rs.kick:
+		case <-rs.added:
 		}
-		if p := rs.demands(time.Now()); len(p.Demands) > 0 {
+		if p := rs.collectDemands(time.Now()); len(p.Demands) > 0 {
 			rs.send(p)
 		}
 	}
 }
 
-// demands gathers what waits, by target and customer.
-func (rs *rooms) demands(now time.Time) wire.DemandParams {
+// collectDemands summarises the waiting requests by target and customer.
+func (rs *waitlists) collectDemands(now time.Time) wire.DemandParams {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	var p wire.DemandParams
-	for t, r := range rs.rooms {
-		by := map[ident.Customer]*wire.DemandIn{}
+	for t, r := range rs.byTarget {
+		byCustomer := map[ident.Customer]*wire.DemandIn{}
 		for w := range r.waiters {
-			d := by[w.customer]
+			d := byCustomer[w.customer]
 			if d == nil {
 				d = &wire.DemandIn{Within: w.deadline.Sub(now), Demand: placement.Demand{Entry: rs.entry.cfg.Host, Service: w.service, Customer: w.customer, Target: t, Batch: true}}
-				by[w.customer] = d
+				byCustomer[w.customer] = d
 			}
 			d.Demand.Waiting++
 			d.Demand.Batch = d.Demand.Batch && w.priority == record.Batch
 			d.Within = min(d.Within, w.deadline.Sub(now))
 		}
-		for _, d := range by {
+		for _, d := range byCustomer {
 			p.Demands = append(p.Demands, *d)
 		}
 	}
 	return p
 }
 
-func (rs *rooms) send(p wire.DemandParams) {
+func (rs *waitlists) send(p wire.DemandParams) {
 	ctx, cancel := context.WithTimeout(context.Background(), demandTimeout)
 	defer cancel()
 	var res wire.DemandResult
@@ -163,8 +167,8 @@
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	for _, est := range res.Estimates {
-		if r, ok := rs.rooms[est.Target]; ok {
-			r.est, r.estAt, r.hasEst = est, now, true
+		if r, ok := rs.byTarget[est.Target]; ok {
+			r.estimated, r.estimatedAt, r.hasEstimate = est, now, true
 			r.wake()
 		}
 	}
--- a/internal/app/entry/sink.go
+++ b/internal/app/entry/sink.go
@@ -12,79 +12,80 @@
 	"github.com/cassiapass/cassiapass/internal/wire"
 )
 
-const bufferedAnswer = 1 << 20 // a plain answer up to this size is sent only when it is whole
+const maxBuffered = 1 << 20 // an answer that is not streamed is sent only when complete, up to this size
 
 // httpSink writes an answer to the caller.
 //
-// A stream of events starts at once; its outcome follows in a trailer and in a
-// comment after the engine's own end mark, and a stream that was cut ends with
-// an error event and a broken connection, so it is never mistaken for a whole
-// one. Any other answer is held until it is whole, which keeps the way open for
-// another attempt and lets the header name the outcome.
+// A stream of events starts at once. Its outcome follows in a trailer and in a
+// comment after the engine's own end mark. A truncated stream ends with an error
+// event and a broken connection, so it cannot be mistaken for a complete one. Any
+// other answer is buffered until it is complete, up to maxBuffered bytes, so that
+// another attempt can replace it and the header can state the outcome. A larger one
+// is streamed.
 type httpSink struct {
-	c      echo.Context
-	rc     *http.ResponseController
-	wait   time.Duration
-	events bool // the caller asked for a stream
-	live   bool // bytes go to the caller as they come
-	hd     *wire.Head
-	held   []byte
-	total  int64
+	c            echo.Context
+	rc           *http.ResponseController
+	writeTimeout time.Duration
+	events       bool // the caller asked for a stream
+	streaming    bool // bytes are sent to the caller as they arrive
+	header       *wire.Head
+	buffered     []byte
+	total        int64
 }
 
 func newSink(c echo.Context, cfg Config, events bool) *httpSink {
-	return &httpSink{c: c, rc: http.NewResponseController(c.Response()), wait: cfg.WriteWait, events: events}
+	return &httpSink{c: c, rc: http.NewResponseController(c.Response()), writeTimeout: cfg.WriteWait, events: events}
 }
 
-func (s *httpSink) delivered() bool { return s.live }
+func (s *httpSink) delivered() bool { return s.streaming }
 
 func (s *httpSink) head(h wire.Head) error {
-	if s.live {
+	if s.streaming {
 		return nil // sent again after a resume
 	}
-	s.hd = &h
-	s.held, s.total = nil, 0
+	s.header = &h
+	s.buffered, s.total = nil, 0
 	if s.events && h.Status == http.StatusOK {
-		return s.goLive()
+		return s.activate()
 	}
 	return nil
 }
 
-// goLive sends the header and everything held so far.
-func (s *httpSink) goLive() error {
+// activate starts to stream: it sends the header and everything buffered so far.
+func (s *httpSink) activate() error {
 	h := s.c.Response().Header()
-	h.Set(echo.HeaderContentType, s.hd.ContentType)
+	h.Set(echo.HeaderContentType, s.header.ContentType)
 	h.Set("Trailer", HeaderOutcome)
 	h.Set("Cache-Control", "no-store")
-	s.live = true
-	if err := s.rc.SetWriteDeadline(time.Now().Add(s.wait)); err != nil && !errors.Is(err, http.ErrNotSupported) {
+	s.streaming = true
+	if err := s.rc.SetWriteDeadline(time.Now().Add(s.writeTimeout)); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return err
 	}
-	s.c.Response().WriteHeader(s.hd.Status)
-	held := s.held
-	s.held = nil
-	if len(held) == 0 {
+	s.c.Response().WriteHeader(s.header.Status)
+	buffered := s.buffered
+	s.buffered = nil
+	if len(buffered) == 0 {
 		return s.rc.Flush()
 	}
-	return s.send(held)
+	return s.send(buffered)
 }
 
 func (s *httpSink) write(p []byte) error {
 	s.total += int64(len(p))
-	if s.live {
+	if s.streaming {
 		return s.send(p)
 	}
-	s.held = append(s.held, p...)
-	if len(s.held) > bufferedAnswer {
-		return s.goLive()
+	s.buffered = append(s.buffered, p...)
+	if len(s.buffered) > maxBuffered {
+		return s.activate()
 	}
 	return nil
 }
 
-// send writes and flushes. A caller who takes nothing for the time limit is cut
-// off, so that it holds neither memory nor a slot for ever.
+// send writes and flushes. A caller that reads nothing within the write timeout
+// is disconnected, so that it does not hold memory and a slot indefinitely.
 func (s *httpSink) send(p []byte) error {
-	if err := s.rc.SetWriteDeadline(time.Now().Add(s.wait)); err != nil && !errors.Is(err, http.ErrNotSupported) {
+	if err := s.rc.SetWriteDeadline(time.Now().Add(s.writeTimeout)); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return err
 	}
 	if _, err := s.c.Response().Write(p); err != nil {
@@ -94,7 +95,7 @@
 }
 
 func (s *httpSink) finish() error {
-	if s.live {
+	if s.streaming {
 		if s.events {
 			end := ": cassiapass outcome=" + string(Answered) + " bytes=" + strconv.FormatInt(s.total, 10) + "\n\n"
 			if err := s.send([]byte(end)); err != nil {
@@ -104,20 +105,21 @@
 		s.c.Response().Header().Set(HeaderOutcome, string(Answered))
 		return nil
 	}
-	if s.hd == nil {
-		s.hd = &wire.Head{Status: http.StatusBadGateway}
+	if s.header == nil {
+		s.header = &wire.Head{Status: http.StatusBadGateway}
 	}
 	h := s.c.Response().Header()
 	h.Set(HeaderOutcome, string(Answered))
-	h.Set(echo.HeaderContentLength, strconv.Itoa(len(s.held)))
-	if s.hd.ContentType != "" {
-		h.Set(echo.HeaderContentType, s.hd.ContentType)
+	h.Set(echo.HeaderContentLength, strconv.Itoa(len(s.buffered)))
+	if s.header.ContentType != "" {
+		h.Set(echo.HeaderContentType, s.header.ContentType)
 	}
-	s.c.Response().WriteHeader(s.hd.Status)
-	return s.send(s.held)
+	s.c.Response().WriteHeader(s.header.Status)
+	return s.send(s.buffered)
 }
 
-// abort ends an answer that was cut: an error event, then a broken connection.
+// abort ends an incomplete answer: it sends an error event if the caller
+// requested a stream, then breaks the connection.
 func (s *httpSink) abort(ref *refusal) {
 	if s.events {
 		if b, err := json.Marshal(ref.body()); err == nil {
