--- a/internal/app/entry/api.go
+++ b/internal/app/entry/api.go
@@ -273,8 +273,8 @@
 }
 
 // preferReady returns the newest version that has a ready replica, for requests
-// that name no version. A new version so receives requests only once it is
-// loaded.
+// that name no version. This way a new version receives requests only once it
+// is loaded.
 func (e *Entry) preferReady(s *record.Service, t, newest ident.Target, m *record.Model) (ident.Target, *record.Model) {
 	best, bestModel := newest, m
 	e.follower.Read(func(v *view.View) {
