--- a/internal/app/agent/agent.go
+++ b/internal/app/agent/agent.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	tickEvery     = 50 * time.Millisecond
-	registerRetry = 300 * time.Millisecond
-	cachedEvery   = 10 * time.Second // how often the engine is asked for its cached checkpoints
-	commitTimeout = 3 * time.Second
+	tickInterval   = 50 * time.Millisecond
+	retryInterval  = 300 * time.Millisecond
+	cachedInterval = 10 * time.Second // interval of listing the engine's cached checkpoints
+	commitTimeout  = 3 * time.Second
 )
 
-// Config is what an agent is made from.
+// Config configures an Agent.
 type Config struct {
 	Host      ident.HostID
 	Zone      ident.Zone
@@ -39,21 +39,21 @@
 	Security  rpc.Security
 	Log       zerolog.Logger
 
-	Engine       port.Engine // nil beside a plain service
-	Plain        port.Backend
-	Serves       string // name of the plain service
-	Memory       int64
-	Slots        int
-	MaxQueue     int
-	HonoursFence bool
-	LongestOrder time.Duration
-	Window       int           // bytes of an answer held until the entry confirms them
-	EngineSilent time.Duration // a stream without a byte for this long is taken for cut
-	OrphanAfter  time.Duration // a run whose entry is gone is cancelled after this
-	KeepEnded    time.Duration // an ended answer is kept for a resume this long
-	Incarnation  ident.Incarnation
+	Engine         port.Engine // nil for a plain service
+	Plain          port.Backend
+	Serves         string // name of the plain service
+	Memory         int64
+	Slots          int
+	MaxQueue       int
+	HonoursFence   bool
+	LongestOrder   time.Duration
+	Window         int           // bytes of an answer buffered until the entry acknowledges them
+	EngineSilent   time.Duration // a stream without a byte for this long counts as broken
+	OrphanAfter    time.Duration // a run without a connection to its entry is cancelled after this
+	EndedRetention time.Duration // an ended run is kept this long, so that its answer can be resumed
+	Incarnation    ident.Incarnation
 	// Unsafe turns one safeguard off; tests use it to show that the checks
-	// notice. Never set outside tests.
+	// detect its absence. Never set outside tests.
 	Unsafe Unsafe
 }
 
@@ -63,7 +63,7 @@
 // The safeguards that tests can turn off.
 const (
 	UnsafeNone      Unsafe = ""
-	UnsafeRestarted Unsafe = "forget-restarts" // an attempt sent to an earlier process is run
+	UnsafeRestarted Unsafe = "forget-restarts" // an attempt sent to an earlier incarnation is run
 	UnsafeNotRun    Unsafe = "claim-not-run"   // a run in progress that is cancelled is reported as not run
 )
 
@@ -71,7 +71,7 @@
 func DefaultConfig() Config {
 	return Config{
 		Slots: 16, MaxQueue: 256, LongestOrder: 2 * time.Minute, Window: 64 << 10,
-		EngineSilent: 10 * time.Second, OrphanAfter: 10 * time.Second, KeepEnded: 30 * time.Second,
+		EngineSilent: 10 * time.Second, OrphanAfter: 10 * time.Second, EndedRetention: 30 * time.Second,
 	}
 }
 
@@ -87,26 +87,26 @@
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup
 
-	mu     sync.Mutex
-	ledger *ledger.Ledger
-	queue  *admission.Queue
-	runs   map[ident.Attempt]*run
-	barred map[ident.Attempt]time.Time
-	// backendEnds counts the ends of the engine or service that were noticed here.
-	backendEnds int
-	decided     map[ident.Index]bool // replicas known from control
-	registered  bool
-	listed      bool // the registration was seen in the view
-	leaving     bool
-	used        map[ident.Index]time.Time
-	cached      map[ident.Target]placement.Source
-	toReport    placement.Report // what the next beat tells beside the load
-	cachedAt    time.Time
-	events      []ledger.Event // to be committed, in order; at most two per replica decided
-	newEvent    chan struct{}
+	mu      sync.Mutex
+	ledger  *ledger.Ledger
+	queue   *admission.Queue
+	runs    map[ident.Attempt]*run
+	blocked map[ident.Attempt]time.Time
+	// backendEnds counts the detected ends of the engine or service.
+	backendEnds    int
+	knownReplicas  map[ident.Index]bool // replicas of this endpoint in the view
+	registered     bool
+	inView         bool // the view has contained this endpoint since its registration
+	leaving        bool
+	lastUsed       map[ident.Index]time.Time
+	cached         map[ident.Target]placement.Source
+	pendingReport  placement.Report // sent with the next heartbeat, in addition to the load
+	cachedListedAt time.Time
+	events         []ledger.Event // to be committed, in order; at most two per replica
+	newEvent       chan struct{}
 }
 
-// New starts an agent.
+// New creates and starts an Agent.
 func New(cfg Config) (*Agent, error) {
 	if cfg.Incarnation == 0 {
 		cfg.Incarnation = ident.Incarnation(time.Now().UnixNano())
@@ -114,19 +114,19 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &Agent{
 		cfg: cfg, backend: cfg.Plain, count: &rpc.Counter{}, ctx: ctx, cancel: cancel,
-		ledger:   ledger.New(ledger.Config{Memory: cfg.Memory, HonoursFence: cfg.HonoursFence, LongestOrder: cfg.LongestOrder, AskEvery: time.Second}, time.Now()),
-		queue:    admission.New(admission.Config{Slots: cfg.Slots, MaxQueue: cfg.MaxQueue, Expected: time.Second}),
-		runs:     map[ident.Attempt]*run{},
-		barred:   map[ident.Attempt]time.Time{},
-		decided:  map[ident.Index]bool{},
-		used:     map[ident.Index]time.Time{},
-		cached:   map[ident.Target]placement.Source{},
-		newEvent: make(chan struct{}, 1),
+		ledger:        ledger.New(ledger.Config{Memory: cfg.Memory, HonoursFence: cfg.HonoursFence, LongestOrder: cfg.LongestOrder, AskEvery: time.Second}, time.Now()),
+		queue:         admission.New(admission.Config{Slots: cfg.Slots, MaxQueue: cfg.MaxQueue, Expected: time.Second}),
+		runs:          map[ident.Attempt]*run{},
+		blocked:       map[ident.Attempt]time.Time{},
+		knownReplicas: map[ident.Index]bool{},
+		lastUsed:      map[ident.Index]time.Time{},
+		cached:        map[ident.Target]placement.Source{},
+		newEvent:      make(chan struct{}, 1),
 	}
 	if cfg.Engine != nil {
 		a.backend = cfg.Engine
 	}
-	a.toReport.Full = true
+	a.pendingReport.Full = true
 	a.met = newMetrics(a)
 	a.follower = follow.New(follow.Config{
 		Process: wire.Process{Role: wire.RoleAgent, Host: cfg.Host, Incarnation: cfg.Incarnation},
@@ -140,14 +140,14 @@
 	}
 	a.srv = srv
 	a.follower.Start()
-	a.goDo(a.register)
-	a.goDo(a.tickLoop)
-	a.goDo(a.tellLoop)
+	a.spawn(a.register)
+	a.spawn(a.tickLoop)
+	a.spawn(a.commitLoop)
 	cfg.Log.Info().Str("address", a.Addr()).Uint64("incarnation", uint64(cfg.Incarnation)).Str("zone", string(cfg.Zone)).Msg("agent_started")
 	return a, nil
 }
 
-func (a *Agent) goDo(f func()) {
+func (a *Agent) spawn(f func()) {
 	a.wg.Add(1)
 	go func() {
 		defer a.wg.Done()
@@ -155,7 +155,7 @@
 	}()
 }
 
-// Addr returns the address under which entries reach this agent.
+// Addr returns the address at which entries reach this agent.
 func (a *Agent) Addr() string {
 	if a.cfg.Advertise != "" {
 		return a.cfg.Advertise
@@ -163,14 +163,14 @@
 	return a.srv.Addr()
 }
 
-// ListenAddr returns the address that this agent is bound to.
+// ListenAddr returns the address that this agent listens on.
 func (a *Agent) ListenAddr() string { return a.srv.Addr() }
 
 func (a *Agent) authFailed(remote string, err error) {
 	a.cfg.Log.Warn().Str("remote", remote).Err(err).Msg("connection_refused")
 }
 
-// endpoint describes this endpoint for its registration.
+// endpoint returns the description of this endpoint for its registration.
 func (a *Agent) endpoint(leaving bool) state.Endpoint {
 	return state.Endpoint{
 		Host: a.cfg.Host, Incarnation: a.cfg.Incarnation, Addr: a.Addr(), Zone: a.cfg.Zone, Place: a.cfg.Place,
@@ -178,8 +178,9 @@
 	}
 }
 
-// register has this incarnation committed. The index of the registration is the
-// fencing floor: every order of an earlier process carries a lower number.
+// register commits the registration of this incarnation, retrying until it
+// succeeds. The log index of the registration is the fencing floor: every order of
+// an earlier incarnation carries a lower number.
 func (a *Agent) register() {
 	cmd := state.Command{By: string(a.cfg.Host), Endpoint: &state.EndpointSet{Endpoint: a.endpoint(false), Reason: "process started"}}
 	for a.ctx.Err() == nil {
@@ -192,7 +193,7 @@
 		case err == nil:
 			a.cfg.Log.Error().Str("code", string(res.Code)).Str("message", res.Message).Msg("registration_refused")
 		}
-		a.pause(registerRetry)
+		a.pause(retryInterval)
 	}
 }
 
@@ -211,7 +212,8 @@
 	return res, err
 }
 
-// setFloor gives the engine the fencing floor; only then may orders leave.
+// setFloor sets the fencing floor at the engine. No orders are sent before the
+// engine has it.
 func (a *Agent) setFloor(floor ident.Index) {
 	for a.cfg.Engine != nil && a.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(a.ctx, commitTimeout)
@@ -221,7 +223,7 @@
 			break
 		}
 		a.cfg.Log.Warn().Err(err).Msg("engine_floor_failed")
-		a.pause(registerRetry)
+		a.pause(retryInterval)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -230,7 +232,8 @@
 	a.registered = true
 }
 
-// changed takes decisions about this endpoint over into the ledger.
+// changed is called after each change of the view. It applies the decisions about
+// this endpoint to the ledger.
 func (a *Agent) changed() {
 	now := time.Now()
 	a.mu.Lock()
@@ -240,40 +243,41 @@
 			if r.Host != a.cfg.Host {
 				continue
 			}
-			a.decided[id] = true
+			a.knownReplicas[id] = true
 			a.ledger.Decide(now, ledger.Grant{ID: id, Target: r.Target, Bytes: r.Bytes, Drain: r.Phase == state.Draining, Ready: r.Phase == state.Ready})
 		}
-		for id := range a.decided {
+		for id := range a.knownReplicas {
 			if _, ok := v.Replicas()[id]; !ok {
-				delete(a.decided, id)
-				delete(a.used, id)
+				delete(a.knownReplicas, id)
+				delete(a.lastUsed, id)
 				a.ledger.Forget(now, id)
 			}
 		}
 		_, known := v.Endpoint(a.cfg.Host)
-		a.noticeForgotten(known)
+		a.checkRegistration(known)
 	})
 }
 
-// noticeForgotten registers again when control has forgotten this endpoint,
-// which happens when it was cut off for long and the platform's list lacked it.
-// Without this the endpoint would serve nothing until its process is restarted.
-func (a *Agent) noticeForgotten(known bool) {
+// checkRegistration registers again when control has removed this endpoint, which
+// happens when the agent was cut off for long and the platform's list did not
+// contain the host. Without this, the endpoint would serve nothing until its
+// process is restarted.
+func (a *Agent) checkRegistration(known bool) {
 	if known {
-		a.listed = true
+		a.inView = true
 		return
 	}
-	if !a.listed || !a.registered || a.leaving {
+	if !a.inView || !a.registered || a.leaving {
 		return
 	}
-	a.listed, a.registered = false, false
+	a.inView, a.registered = false, false
 	a.cfg.Log.Warn().Msg("forgotten")
-	a.goDo(a.register)
+	a.spawn(a.register)
 }
 
-// tickLoop carries out what time brings.
+// tickLoop calls tick at every interval.
 func (a *Agent) tickLoop() {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -285,6 +289,8 @@
 	}
 }
 
+// tick expires waiting requests and runs, and starts the engine orders that are
+// due.
 func (a *Agent) tick(now time.Time) {
 	a.mu.Lock()
 	expired := a.queue.Expire(now)
@@ -296,24 +302,24 @@
 	var orders []ledger.Order
 	if a.registered && a.cfg.Engine != nil {
 		orders = a.ledger.Orders(now, func(id ident.Index) int { r, w := a.queue.OfReplica(id); return r + w })
-		a.post(a.ledger.Withdraw(now))
+		a.queueEvents(a.ledger.Withdraw(now))
 	}
-	askCached := a.cfg.Engine != nil && now.Sub(a.cachedAt) > cachedEvery
-	if askCached {
-		a.cachedAt = now
+	cacheDue := a.cfg.Engine != nil && now.Sub(a.cachedListedAt) > cachedInterval
+	if cacheDue {
+		a.cachedListedAt = now
 		a.ledger.Suspect()
 	}
 	a.mu.Unlock()
 	for _, o := range orders {
-		a.goDo(func() { a.carryOut(o) })
+		a.spawn(func() { a.executeOrder(o) })
 	}
-	if askCached {
-		a.goDo(a.learnCached)
+	if cacheDue {
+		a.spawn(a.refreshCached)
 	}
 }
 
-// dropDraining refuses requests that wait for a replica which is on its way
-// out. They did not run and go elsewhere.
+// dropDraining refuses requests that wait for a replica that is being drained or
+// unloaded. They did not run, so the entry can send them elsewhere.
 func (a *Agent) dropDraining() {
 	for _, line := range a.ledger.Lines() {
 		if line.Phase != ledger.Draining && line.Phase != ledger.Unloading {
@@ -325,35 +331,36 @@
 	}
 }
 
-// post hands events to the goroutine that tells control.
-func (a *Agent) post(events []ledger.Event) {
+// queueEvents appends events for the goroutine that commits them.
+func (a *Agent) queueEvents(events []ledger.Event) {
 	if len(events) == 0 {
 		return
 	}
 	a.events = append(a.events, events...)
-	poke(a.newEvent)
+	signal(a.newEvent)
 }
 
-// Load returns the load that is attached to answers.
+// load returns the load that is attached to answers.
 func (a *Agent) load() routing.Load {
 	return routing.Load{Running: a.queue.Running(), Waiting: a.queue.Waiting(), Slots: a.cfg.Slots, Leaving: a.leaving}
 }
 
-// report tells control of this endpoint with the next beat.
+// report returns the report for the next heartbeat, or nil if there is nothing to
+// report.
 func (a *Agent) report() *placement.Report {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	r := a.toReport
+	r := a.pendingReport
 	r.Host, r.Incarnation = a.cfg.Host, a.cfg.Incarnation
-	a.toReport = placement.Report{}
-	for id, at := range a.used {
+	a.pendingReport = placement.Report{}
+	for id, at := range a.lastUsed {
 		running, waiting := a.queue.OfReplica(id)
 		if running+waiting > 0 {
 			at = time.Now()
 		}
 		r.Replicas = append(r.Replicas, placement.ReplicaLoad{ID: id, Running: running, Waiting: waiting, LastUsed: at})
 		if running+waiting == 0 {
-			delete(a.used, id) // told once; nothing changes until the next use
+			delete(a.lastUsed, id) // reported once; nothing changes until the next use
 		}
 	}
 	if len(r.Replicas) == 0 && len(r.Cached) == 0 && len(r.Loaded) == 0 && !r.Full {
@@ -362,28 +369,29 @@
 	return &r
 }
 
-// reported keeps what did not arrive for the next beat.
+// reported is called with the result of sending a report. If it was not delivered,
+// its content is kept for the next heartbeat.
 func (a *Agent) reported(r *placement.Report, ok bool) {
 	if ok {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.toReport.Full = true
-	a.toReport.Loaded = append(r.Loaded, a.toReport.Loaded...)
-	a.toReport.Cached = nil
+	a.pendingReport.Full = true
+	a.pendingReport.Loaded = append(r.Loaded, a.pendingReport.Loaded...)
+	a.pendingReport.Cached = nil
 	for t, s := range a.cached {
-		a.toReport.Cached = append(a.toReport.Cached, placement.CachedAt{Target: t, Source: s})
+		a.pendingReport.Cached = append(a.pendingReport.Cached, placement.CachedAt{Target: t, Source: s})
 	}
 	for _, l := range r.Replicas {
-		if _, newer := a.used[l.ID]; !newer && a.decided[l.ID] {
-			a.used[l.ID] = l.LastUsed
+		if _, newer := a.lastUsed[l.ID]; !newer && a.knownReplicas[l.ID] {
+			a.lastUsed[l.ID] = l.LastUsed
 		}
 	}
 }
 
-// Stop is a graceful shutdown: the endpoint takes no new work, work in progress
-// ends, at most until limit has passed.
+// Stop shuts the agent down gracefully: it accepts no new work and waits, at most
+// for limit, for runs in progress to end.
 func (a *Agent) Stop(limit time.Duration) {
 	a.mu.Lock()
 	a.leaving = true
@@ -394,17 +402,18 @@
 		a.cfg.Log.Warn().Err(err).Msg("leaving_not_announced")
 	}
 	deadline := time.Now().Add(limit)
-	for time.Now().Before(deadline) && a.busy() > 0 {
-		a.pause(tickEvery)
+	for time.Now().Before(deadline) && a.unsettledRuns() > 0 {
+		a.pause(tickInterval)
 	}
-	if n := a.busy(); n > 0 {
+	if n := a.unsettledRuns(); n > 0 {
 		a.cfg.Log.Warn().Int("runs", n).Msg("stopped_with_runs")
 	}
 	a.Kill()
 }
 
-// busy counts the runs that have not ended or whose end the entry does not hold.
-func (a *Agent) busy() int {
+// unsettledRuns counts the runs that have not ended or whose end the entry has not
+// acknowledged.
+func (a *Agent) unsettledRuns() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := 0
@@ -416,7 +425,7 @@
 	return n
 }
 
-// Kill stops at once, as a crash would.
+// Kill stops the agent at once, as a crash would.
 func (a *Agent) Kill() {
 	a.cancel()
 	a.srv.Close()
--- a/internal/app/agent/handlers.go
+++ b/internal/app/agent/handlers.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	barFor    = 10 * time.Minute // longer than any request may take to arrive
-	maxBarred = 100_000
+	blockDuration = 10 * time.Minute // longer than any message may take to arrive
+	maxBlocked    = 100_000
 )
 
-// handle answers what entries send.
+// handle serves the calls of entries.
 func (a *Agent) handle(_ context.Context, conn *rpc.Conn, method string, raw json.RawMessage) (any, error) {
 	switch method {
 	case wire.MethodRun:
-		return decodeAnd(raw, func(p wire.RunParams) wire.RunResult { return a.onRun(conn, p) })
+		return decodeAndCall(raw, func(p wire.RunParams) wire.RunResult { return a.onRun(conn, p) })
 	case wire.MethodResume:
-		return decodeAnd(raw, func(p wire.ResumeParams) wire.RunResult { return a.onResume(conn, p) })
+		return decodeAndCall(raw, func(p wire.ResumeParams) wire.RunResult { return a.onResume(conn, p) })
 	case wire.MethodCancel:
-		return decodeAnd(raw, a.onCancel)
+		return decodeAndCall(raw, a.onCancel)
 	case wire.MethodAck:
-		return decodeAnd(raw, a.onAck)
+		return decodeAndCall(raw, a.onAck)
 	case wire.MethodPing:
 		a.mu.Lock()
 		defer a.mu.Unlock()
@@ -37,7 +37,7 @@
 	return nil, fmt.Errorf("method %q is not known", method)
 }
 
-func decodeAnd[P, R any](raw json.RawMessage, f func(P) R) (any, error) {
+func decodeAndCall[P, R any](raw json.RawMessage, f func(P) R) (any, error) {
 	var p P
 	if err := json.Unmarshal(raw, &p); err != nil {
 		return nil, err
@@ -49,14 +49,16 @@
 	return wire.RunResult{State: s, Reason: reason, Incarnation: a.cfg.Incarnation, Load: a.load()}
 }
 
-// onRun decides about one attempt. "Not run" is said only here, before anything
-// was sent to the engine, and in endQueued.
+// onRun accepts or refuses an attempt. RunNotRun is reported only where it is
+// certain: here, before anything is sent to the engine; by endQueued, for an
+// attempt that has not started; by onCancel; and when the request could not be
+// sent to the engine.
 func (a *Agent) onRun(conn *rpc.Conn, p wire.RunParams) wire.RunResult {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if r, ok := a.runs[p.Attempt]; ok {
-		// The entry sends an attempt again when it lost the answer; it must
-		// find the run and not start a second one.
+		// The entry sends an attempt again when the reply was lost. It must
+		// attach to the existing run and not start a second one.
 		a.met.duplicates.Inc()
 		if !a.attach(r, conn, 0) {
 			return a.result(wire.RunUnknown, "the answer is no longer held from its start")
@@ -75,18 +77,20 @@
 	return a.admit(conn, p, id)
 }
 
-// refuse names the reasons to refuse before admission.
+// refuse checks the conditions that do not depend on admission. It returns true
+// with the result if the attempt is refused.
 func (a *Agent) refuse(p wire.RunParams) (wire.RunResult, bool) {
 	if p.Agent != a.cfg.Host {
-		// An address can pass to another host while an entry's view lags.
+		// An address can be reassigned to another host while an entry's view
+		// is out of date.
 		return a.result(wire.RunNotRun, "wrong_host"), true
 	}
-	if _, ok := a.barred[p.Attempt]; ok {
+	if _, ok := a.blocked[p.Attempt]; ok {
 		return a.result(wire.RunNotRun, "cancelled"), true
 	}
 	restarted := p.SentTo != 0 && p.SentTo != a.cfg.Incarnation
 	if restarted && !p.Repeatable && a.cfg.Unsafe != UnsafeRestarted {
-		// The process before this one may have run it.
+		// An earlier incarnation may have run it.
 		return a.result(wire.RunUnknown, "the agent was restarted"), true
 	}
 	if a.leaving {
@@ -95,9 +99,10 @@
 	return a.checkConfig(p)
 }
 
-// checkConfig refuses an entry that acts on an older configuration than this
-// agent knows, and hands over what it lacks. An entry cut off from control can
-// so not act on a configuration that was replaced, wherever that is known.
+// checkConfig refuses an attempt from an entry whose configuration is older than
+// this agent's, and returns the records that the entry is missing. An entry that is
+// cut off from control therefore cannot act on a replaced configuration at any
+// agent that has the new one.
 func (a *Agent) checkConfig(p wire.RunParams) (wire.RunResult, bool) {
 	res := a.result(wire.RunNotRun, "old_config")
 	old := false
@@ -110,7 +115,8 @@
 	return res, old
 }
 
-// replicaFor returns the replica that serves p; 0 for a plain service.
+// replicaFor returns the replica that serves p, 0 for a plain service. It returns
+// false if there is none.
 func (a *Agent) replicaFor(p wire.RunParams) (ident.Index, bool) {
 	if p.Service != "" {
 		return 0, p.Service == a.cfg.Serves && a.cfg.Plain != nil
@@ -130,14 +136,14 @@
 		return res
 	}
 	r := a.newRun(p, id, conn)
-	a.touch(id, now)
+	a.recordUse(id, now)
 	if d.Verdict == admission.Run {
 		a.start(r)
 	}
 	return a.result(wire.RunAccepted, "")
 }
 
-// onResume goes on with an answer over another connection.
+// onResume continues an answer over another connection.
 func (a *Agent) onResume(conn *rpc.Conn, p wire.ResumeParams) wire.RunResult {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -152,24 +158,24 @@
 	return a.result(wire.RunAccepted, "")
 }
 
-// onCancel ends an attempt and tells whether it has run. An attempt never seen
-// is barred, so that "not run" stays true when its message arrives late.
+// onCancel ends an attempt and reports whether it ran. An attempt that was never
+// received is blocked, so that "not run" remains true if its message arrives late.
 func (a *Agent) onCancel(p wire.CancelParams) wire.RunResult {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	r, ok := a.runs[p.Attempt]
 	if !ok {
-		if (p.SentTo != 0 && p.SentTo != a.cfg.Incarnation) || len(a.barred) >= maxBarred {
+		if (p.SentTo != 0 && p.SentTo != a.cfg.Incarnation) || len(a.blocked) >= maxBlocked {
 			return a.result(wire.RunUnknown, "the agent was restarted")
 		}
-		a.barred[p.Attempt] = time.Now().Add(barFor)
+		a.blocked[p.Attempt] = time.Now().Add(blockDuration)
 		return a.result(wire.RunNotRun, "cancelled")
 	}
 	if r.end == nil {
 		a.cancelRun(r)
 	}
 	if !r.started || a.cfg.Unsafe == UnsafeNotRun {
-		a.barred[p.Attempt] = time.Now().Add(barFor)
+		a.blocked[p.Attempt] = time.Now().Add(blockDuration)
 		return a.result(wire.RunNotRun, "cancelled")
 	}
 	if r.end != nil && r.end.State == wire.RunNotRun {
@@ -178,6 +184,8 @@
 	return a.result(wire.RunAccepted, "it was running")
 }
 
+// onAck drops acknowledged bytes from the buffer and marks the run as confirmed
+// when its end is acknowledged.
 func (a *Agent) onAck(p wire.Ack) any {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -187,8 +195,8 @@
 	}
 	r.out.Ack(p.Offset)
 	if r.end != nil && r.endSent && p.Offset >= r.end.Total {
-		r.confirm = true
+		r.confirmed = true
 	}
-	poke(r.room)
+	signal(r.space)
 	return nil
 }
--- a/internal/app/agent/http.go
+++ b/internal/app/agent/http.go
@@ -61,7 +61,7 @@
 
 var errNotReady = errors.New("not registered, not current, or leaving")
 
-// DebugState is what /debug/state shows.
+// DebugState is the response body of /debug/state.
 type DebugState struct {
 	Host     ident.HostID  `json:"host"`
 	Index    ident.Index   `json:"index"`
@@ -74,7 +74,7 @@
 	Runs     int           `json:"runs"`
 }
 
-// Debug returns a picture of the agent for operators.
+// Debug returns the agent's state for operators.
 func (a *Agent) Debug() DebugState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -86,14 +86,15 @@
 
 func (a *Agent) ready() bool { return a.registered && !a.leaving && a.follower.Ready() }
 
-// Ready reports whether the agent is registered, current and not leaving.
+// Ready reports whether the agent is registered, has a current view and is not
+// leaving.
 func (a *Agent) Ready() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ready()
 }
 
-// API returns the operators' HTTP interface.
+// API returns the HTTP interface for operators.
 func (a *Agent) API() *echo.Echo {
 	ready := func(context.Context) error {
 		if !a.Ready() {
--- a/internal/app/agent/orders.go
+++ b/internal/app/agent/orders.go
@@ -12,8 +12,8 @@
 	"github.com/cassiapass/cassiapass/internal/port"
 )
 
-// carryOut gives one order to the engine and takes its outcome into the ledger.
-func (a *Agent) carryOut(o ledger.Order) {
+// executeOrder sends one order to the engine and applies its outcome to the ledger.
+func (a *Agent) executeOrder(o ledger.Order) {
 	ctx, cancel := context.WithTimeout(a.ctx, a.cfg.LongestOrder)
 	defer cancel()
 	if o.Kind == ledger.OrderList {
@@ -29,15 +29,15 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if o.Kind == ledger.OrderLoad && out == ledger.Done {
-		a.toReport.Loaded = append(a.toReport.Loaded, placement.LoadTime{Source: source, Bytes: o.Bytes, Took: now.Sub(begin)})
-		a.cachedAt = time.Time{}
+		a.pendingReport.Loaded = append(a.pendingReport.Loaded, placement.LoadTime{Source: source, Bytes: o.Bytes, Took: now.Sub(begin)})
+		a.cachedListedAt = time.Time{}
 	}
-	a.post(a.ledger.Finished(now, o, out))
+	a.queueEvents(a.ledger.Finished(now, o, out))
 }
 
-// suspect has the engine asked what it holds: it may have lost everything in a
-// restart of its own.
-func (a *Agent) suspect() {
+// requestList makes the ledger list the engine again: the engine may have lost
+// everything in a restart.
+func (a *Agent) requestList() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ledger.Suspect()
@@ -53,9 +53,9 @@
 	return ledger.Lost
 }
 
-// syncEngine takes what the engine holds into the ledger.
+// syncEngine lists what the engine holds and applies it to the ledger.
 func (a *Agent) syncEngine(ctx context.Context) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	held, err := a.cfg.Engine.List(ctx)
 	if err != nil {
 		a.cfg.Log.Warn().Err(err).Msg("engine_list_failed")
@@ -63,17 +63,17 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.post(a.ledger.Sync(time.Now(), asked, held))
+	a.queueEvents(a.ledger.Sync(time.Now(), requestedAt, held))
 }
 
-// learnCached asks the engine which checkpoints are near and remembers what
-// changed for the next report.
-func (a *Agent) learnCached() {
+// refreshCached lists the engine's cached checkpoints and adds the changes to the
+// next report.
+func (a *Agent) refreshCached() {
 	ctx, cancel := context.WithTimeout(a.ctx, commitTimeout)
 	defer cancel()
 	list, err := a.cfg.Engine.Cached(ctx)
 	if err != nil {
-		return // a hint only; placement then expects a remote load
+		return // only a hint; without it, placement expects a remote load
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -82,17 +82,18 @@
 		seen[c.Target] = true
 		if a.cached[c.Target] != c.Source {
 			a.cached[c.Target] = c.Source
-			a.toReport.Cached = append(a.toReport.Cached, c)
+			a.pendingReport.Cached = append(a.pendingReport.Cached, c)
 		}
 	}
 	for t := range a.cached {
 		if !seen[t] {
 			delete(a.cached, t)
-			a.toReport.Cached = append(a.toReport.Cached, placement.CachedAt{Target: t, Source: placement.FromRemote})
+			a.pendingReport.Cached = append(a.pendingReport.Cached, placement.CachedAt{Target: t, Source: placement.FromRemote})
 		}
 	}
 }
 
+// sourceOf returns where the engine would load the target from.
 func (a *Agent) sourceOf(t ident.Target) placement.Source {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -102,9 +103,9 @@
 	return placement.FromRemote
 }
 
-// tellLoop has events committed, in order, each until control has it: a
-// replica that is gone frees a slot only through the log.
-func (a *Agent) tellLoop() {
+// commitLoop commits events in order, retrying each until control has it: a removed
+// replica frees its slot only through the log.
+func (a *Agent) commitLoop() {
 	for {
 		select {
 		case <-a.ctx.Done():
@@ -116,7 +117,7 @@
 			if !ok {
 				break
 			}
-			a.tell(e)
+			a.commitEvent(e)
 		}
 	}
 }
@@ -132,7 +133,7 @@
 	return e, true
 }
 
-func (a *Agent) tell(e ledger.Event) {
+func (a *Agent) commitEvent(e ledger.Event) {
 	set := &state.ReplicaSet{ID: e.ID, Phase: state.Ready, Reason: e.Reason}
 	if !e.Ready {
 		set.Phase, set.Gone = "", true
@@ -143,6 +144,6 @@
 			a.cfg.Log.Info().Uint64("replica", uint64(e.ID)).Bool("ready", e.Ready).Str("code", string(res.Code)).Str("reason", e.Reason).Msg("replica_reported")
 			return
 		}
-		a.pause(registerRetry)
+		a.pause(retryInterval)
 	}
 }
--- a/internal/app/agent/runs.go
+++ b/internal/app/agent/runs.go
@@ -18,59 +18,60 @@
 )
 
 const (
-	partBytes    = 16 << 10 // largest piece of an answer in one message
-	resumeTries  = 3        // times a cut engine stream is resumed
-	resumePause  = 100 * time.Millisecond
-	settleWithin = 10 * time.Second
+	maxPartBytes  = 16 << 10 // maximum size of the data in one part
+	maxResumes    = 3        // times that a broken engine stream is resumed
+	resumeBackoff = 100 * time.Millisecond
+	settleTimeout = 10 * time.Second
 )
 
-// sseEnd ends a stream of server-sent events of an OpenAI-style engine. A
-// stream without it was cut.
-var sseEnd = []byte("data: [DONE]")
+// sseEndMark ends a stream of server-sent events of an OpenAI-style engine. A
+// stream without it is incomplete.
+var sseEndMark = []byte("data: [DONE]")
 
-// run is one attempt. Its fields are guarded by the agent's lock.
+// run is one admitted attempt. Its fields are guarded by the agent's lock.
 type run struct {
-	params wire.RunParams
-	id     ident.Index // replica
-
-	conn     *rpc.Conn // where parts go; nil while no entry is connected
-	sent     int64     // offset up to which parts went to conn
-	endSent  bool
-	headSent bool
-	confirm  bool // the entry holds the end
-	orphan   time.Time
-
-	head    *wire.Head
-	out     *stream.Sender
-	tail    []byte // last bytes, to recognise the end mark
-	record  []byte // the answer for the claim, up to its bound
-	tooLong bool
-	end     *wire.End
-	ended   time.Time
-	started bool
+	params  wire.RunParams
+	replica ident.Index // 0 for a plain service
+
+	conn       *rpc.Conn // where parts are sent; nil while no entry is connected
+	sent       int64     // offset up to which the answer was sent over conn
+	endSent    bool
+	headSent   bool
+	confirmed  bool // the entry has acknowledged the end
+	orphanedAt time.Time
+
+	head          *wire.Head
+	out           *stream.Sender
+	tail          []byte // last bytes, to detect the end mark
+	claimAnswer   []byte // the answer to record under the claim, up to state.MaxAnswer bytes
+	claimTooLarge bool
+	end           *wire.End
+	endedAt       time.Time
+	started       bool
 
 	ctx    context.Context
 	cancel context.CancelFunc
-	wake   chan struct{} // the pump has something to do
-	room   chan struct{} // the producer may have room again
+	wake   chan struct{} // sendAnswer has something to do
+	space  chan struct{} // the buffer may have free space again
 }
 
-// newRun takes on an admitted attempt. It is called under the lock.
+// newRun creates the run of an admitted attempt. The caller holds the lock.
 func (a *Agent) newRun(p wire.RunParams, id ident.Index, conn *rpc.Conn) *run {
 	if a.leaving {
 		panic("invariant: agent: attempt " + p.Attempt.String() + " taken on while leaving")
 	}
 	ctx, cancel := context.WithTimeout(a.ctx, p.EndWithin)
-	r := &run{params: p, id: id, conn: conn, out: stream.NewSender(a.cfg.Window), ctx: ctx, cancel: cancel, wake: make(chan struct{}, 1), room: make(chan struct{}, 1)}
+	r := &run{params: p, replica: id, conn: conn, out: stream.NewSender(a.cfg.Window), ctx: ctx, cancel: cancel, wake: make(chan struct{}, 1), space: make(chan struct{}, 1)}
 	a.runs[p.Attempt] = r
-	a.goDo(func() { a.pump(r) })
+	a.spawn(func() { a.sendAnswer(r) })
 	return r
 }
 
-// settled reports whether nothing is left to do for the entry.
-func (r *run) settled() bool { return r.end != nil && (r.confirm || r.conn == nil) }
+// settled reports whether nothing remains to be sent to the entry.
+func (r *run) settled() bool { return r.end != nil && (r.confirmed || r.conn == nil) }
 
-func poke(ch chan struct{}) {
+// signal wakes the receiver of ch without blocking.
+func signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
@@ -81,64 +82,67 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, r := range a.runs {
-		poke(r.wake)
-		poke(r.room)
+		signal(r.wake)
+		signal(r.space)
 	}
 }
 
-// start runs an admitted attempt. It is called once per attempt, under the lock.
+// start runs an admitted attempt. It is called once per attempt. The caller holds
+// the lock.
 func (a *Agent) start(r *run) {
 	if r.started {
 		panic("invariant: agent: attempt " + r.params.Attempt.String() + " started twice")
 	}
 	r.started = true
 	a.met.started.Inc()
-	a.goDo(func() { a.produce(r) })
+	a.spawn(func() { a.runCall(r) })
 }
 
-// produce runs the call and reads its answer into the buffer.
-func (a *Agent) produce(r *run) {
+// runCall calls the engine or service, reads its answer into the buffer and ends
+// the run.
+func (a *Agent) runCall(r *run) {
 	end := a.callBackend(r)
 	a.finish(r, end)
 }
 
-// callBackend returns how the call ended.
+// callBackend sends the request to the engine or service and reads its answer,
+// resuming it when the stream breaks. It returns how the call ended.
 func (a *Agent) callBackend(r *run) wire.End {
 	p := r.params
 	id := p.Attempt.String()
-	start := a.backendStart()
+	incarnation := a.backendIncarnation()
 	res, err := a.backend.Run(r.ctx, port.Call{ID: id, Method: p.Method, Path: p.Path, ContentType: p.ContentType, Body: p.Body})
 	if errors.Is(err, port.ErrNotSent) {
-		a.suspect()
+		a.requestList()
 		return wire.End{State: wire.RunNotRun, Reason: "the engine could not be reached"}
 	}
-	ended := "" // the start that ran the attempt, once nobody takes a resume
+	endedIncarnation := "" // the incarnation that ran the attempt, once a resume could not be sent
 	for try := 0; ; try++ {
 		if err == nil {
 			if err = a.copyAnswer(r, res); err == nil {
 				return wire.End{State: wire.RunAccepted}
 			}
 		}
-		if r.ctx.Err() != nil || try >= resumeTries {
-			return wire.End{State: wire.RunUnknown, Reason: reasonOf(r.ctx, err), Ended: ended}
+		if r.ctx.Err() != nil || try >= maxResumes {
+			return wire.End{State: wire.RunUnknown, Reason: failureReason(r.ctx, err), Ended: endedIncarnation}
 		}
 		if errors.Is(err, port.ErrCrossed) {
 			a.met.crossed.Inc()
 		}
 		a.cfg.Log.Warn().Str("request", id).Int64("offset", a.offset(r)).Err(err).Msg("engine_stream_cut")
-		a.pause(resumePause << try)
+		a.pause(resumeBackoff << try)
 		a.met.resumes.Inc()
 		res, err = a.backend.Resume(r.ctx, id, a.offset(r))
 		if errors.Is(err, port.ErrRefused) {
-			return wire.End{State: wire.RunUnknown, Reason: "the engine cannot resume the answer", Ended: ended}
+			return wire.End{State: wire.RunUnknown, Reason: "the engine cannot resume the answer", Ended: endedIncarnation}
 		}
-		if errors.Is(err, port.ErrNotSent) && ended == "" {
-			ended = a.backendEnded(start)
+		if errors.Is(err, port.ErrNotSent) && endedIncarnation == "" {
+			endedIncarnation = a.backendEnded(incarnation)
 		}
 	}
 }
 
-func reasonOf(ctx context.Context, err error) string {
+func failureReason(ctx context.Context, err error) string {
 	if cause := ctx.Err(); errors.Is(cause, context.DeadlineExceeded) {
 		return "the time limit has passed"
 	} else if cause != nil {
@@ -153,7 +157,8 @@
 	return r.out.End()
 }
 
-// copyAnswer reads one response to its end. An error means that it was cut.
+// copyAnswer reads one response into the buffer. An error means that the response
+// is incomplete.
 func (a *Agent) copyAnswer(r *run, res *port.Response) error {
 	defer res.Body.Close()
 	if res.Status == http.StatusPartialContent {
@@ -161,27 +166,27 @@
 	}
 	contentType := res.Header.Get("Content-Type")
 	events := strings.HasPrefix(contentType, "text/event-stream")
-	a.begin(r, wire.Head{Status: res.Status, ContentType: contentType})
-	// A connection that went silent for good looks like a slow engine; the
-	// watchdog closes it so that the answer can be resumed on a new one.
-	var dog *time.Timer
+	a.setHead(r, wire.Head{Status: res.Status, ContentType: contentType})
+	// A connection that has become permanently silent looks like a slow engine.
+	// The watchdog closes it so that the answer can be resumed over a new one.
+	var watchdog *time.Timer
 	if events {
-		dog = time.AfterFunc(a.cfg.EngineSilent, func() { _ = res.Body.Close() })
-		defer dog.Stop()
+		watchdog = time.AfterFunc(a.cfg.EngineSilent, func() { _ = res.Body.Close() })
+		defer watchdog.Stop()
 	}
-	buf := make([]byte, partBytes)
+	buf := make([]byte, maxPartBytes)
 	for {
-		n, err := a.waitRoom(r, len(buf))
+		n, err := a.waitForSpace(r, len(buf))
 		if err != nil {
 			return err
 		}
-		if dog != nil {
-			dog.Reset(a.cfg.EngineSilent)
+		if watchdog != nil {
+			watchdog.Reset(a.cfg.EngineSilent)
 		}
 		n, err = res.Body.Read(buf[:n])
 		a.write(r, buf[:n])
 		if errors.Is(err, io.EOF) {
-			return a.whole(r, events, res.Status)
+			return a.checkComplete(r, events, res.Status)
 		}
 		if err != nil {
 			return err
@@ -189,29 +194,31 @@
 	}
 }
 
-var errCut = errors.New("the stream ended without its end mark")
+var errNoEndMark = errors.New("the stream ended without its end mark")
 
-// whole checks the end of an answer whose transport ended properly.
-func (a *Agent) whole(r *run, events bool, status int) error {
+// checkComplete checks for the end mark in an answer whose transport ended properly.
+func (a *Agent) checkComplete(r *run, events bool, status int) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if events && status == http.StatusOK && !bytes.Contains(r.tail, sseEnd) {
-		return errCut
+	if events && status == http.StatusOK && !bytes.Contains(r.tail, sseEndMark) {
+		return errNoEndMark
 	}
 	return nil
 }
 
-func (a *Agent) begin(r *run, h wire.Head) {
+// setHead sets the head of the answer, unless it was set before a resume.
+func (a *Agent) setHead(r *run, h wire.Head) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if r.head == nil {
 		r.head = &h
-		poke(r.wake)
+		signal(r.wake)
 	}
 }
 
-// waitRoom waits until the buffer has room: a slow reader slows the engine.
-func (a *Agent) waitRoom(r *run, limit int) (int, error) {
+// waitForSpace waits until the buffer has free space and returns how many bytes may
+// be read, at most limit. This way a slow reader slows the engine down.
+func (a *Agent) waitForSpace(r *run, limit int) (int, error) {
 	for {
 		a.mu.Lock()
 		n := min(r.out.Room(), limit)
@@ -220,14 +227,14 @@
 			return n, nil
 		}
 		select {
-		case <-r.room:
+		case <-r.space:
 		case <-r.ctx.Done():
 			return 0, r.ctx.Err()
 		}
 	}
 }
 
-const tailBytes = 64 // enough to hold the end mark and the line ends after it
+const tailBytes = 64 // enough for the end mark and the line breaks after it
 
 func (a *Agent) write(r *run, p []byte) {
 	if len(p) == 0 {
@@ -238,36 +245,37 @@
 	r.out.Write(p)
 	r.tail = append(r.tail, p...)
 	r.tail = r.tail[max(0, len(r.tail)-tailBytes):]
-	if r.params.Claim != nil && !r.tooLong {
-		r.record = append(r.record, p...)
-		if len(r.record) > state.MaxAnswer {
-			r.record, r.tooLong = nil, true
+	if r.params.Claim != nil && !r.claimTooLarge {
+		r.claimAnswer = append(r.claimAnswer, p...)
+		if len(r.claimAnswer) > state.MaxAnswer {
+			r.claimAnswer, r.claimTooLarge = nil, true
 		}
 	}
-	poke(r.wake)
+	signal(r.wake)
 }
 
-// finish ends a run that was started.
+// finish ends a started run.
 func (a *Agent) finish(r *run, end wire.End) {
 	a.release(r)
 	if r.params.Claim != nil && end.State == wire.RunAccepted {
-		// The answer is recorded before the entry gets the end: whoever has
-		// seen the whole answer will get the same one again under this key.
-		a.settle(r)
+		// The answer is recorded before the end is sent to the entry: a caller
+		// that received the complete answer gets the same one again under
+		// this key.
+		a.recordAnswer(r)
 	}
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	r.out.Close()
 	end.Attempt, end.Total = r.params.Attempt, r.out.End()
-	r.end, r.ended = &end, now
-	a.touch(r.id, now)
+	r.end, r.endedAt = &end, now
+	a.recordUse(r.replica, now)
 	a.met.ended(end.State)
 	r.cancel()
-	poke(r.wake)
+	signal(r.wake)
 }
 
-// release frees the run's slot and starts who waits for it.
+// release frees the run's slot and starts the requests that are next in the queue.
 func (a *Agent) release(r *run) {
 	now := time.Now()
 	a.mu.Lock()
@@ -280,14 +288,14 @@
 	}
 }
 
-// touch notes a use of a replica for the next report.
-func (a *Agent) touch(id ident.Index, now time.Time) {
+// recordUse records a use of a replica for the next report.
+func (a *Agent) recordUse(id ident.Index, now time.Time) {
 	if id != 0 {
-		a.used[id] = now
+		a.lastUsed[id] = now
 	}
 }
 
-// endQueued ends an attempt that waited and did not run.
+// endQueued ends a queued attempt as not run.
 func (a *Agent) endQueued(at ident.Attempt, reason string) {
 	r, ok := a.runs[at]
 	if !ok || r.end != nil {
@@ -297,35 +305,36 @@
 		panic("invariant: agent: attempt " + at.String() + " reported as not run after it started")
 	}
 	r.end = &wire.End{Attempt: at, State: wire.RunNotRun, Reason: reason}
-	r.ended = time.Now()
+	r.endedAt = time.Now()
 	r.cancel()
 	a.met.ended(wire.RunNotRun)
-	poke(r.wake)
+	signal(r.wake)
 }
 
-// settle records the answer under the idempotency key.
-func (a *Agent) settle(r *run) {
+// recordAnswer records the answer under the idempotency key, retrying for at most
+// settleTimeout.
+func (a *Agent) recordAnswer(r *run) {
 	a.mu.Lock()
-	ans := &state.Answer{Status: r.head.Status, ContentType: r.head.ContentType, Body: r.record, TooLarge: r.tooLong}
+	ans := &state.Answer{Status: r.head.Status, ContentType: r.head.ContentType, Body: r.claimAnswer, TooLarge: r.claimTooLarge}
 	a.mu.Unlock()
 	p := wire.ClaimParams{Settle: &state.SettleClaim{Key: *r.params.Claim, Request: r.params.Attempt.Request, Answer: ans}}
-	ctx, cancel := context.WithTimeout(a.ctx, settleWithin)
+	ctx, cancel := context.WithTimeout(a.ctx, settleTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		var res state.Result
 		if err := a.follower.Call(ctx, wire.MethodClaim, p, &res); err == nil {
 			return
 		}
-		a.pause(resumePause)
+		a.pause(resumeBackoff)
 	}
-	// Without a quorum the answer still goes to its caller; a repeat will be
-	// told that the outcome is unknown, and nothing runs twice.
+	// Without a quorum the answer is still sent to its caller. A repeated
+	// request is answered that the outcome is unknown, and nothing runs twice.
 	a.cfg.Log.Warn().Str("request", string(r.params.Attempt.Request)).Msg("claim_not_settled")
 }
 
-// pump sends a run's answer over its present connection until the entry holds
-// the end or the run is dropped.
-func (a *Agent) pump(r *run) {
+// sendAnswer sends a run's answer over its current connection until the run is
+// removed.
+func (a *Agent) sendAnswer(r *run) {
 	for {
 		conn, part, end, done := a.nextSend(r)
 		if done {
@@ -351,7 +360,8 @@
 	}
 }
 
-// nextSend returns what to send next, nothing if the pump has to wait, or done.
+// nextSend returns the next part or end to send and its connection, neither if
+// there is nothing to send yet, or true if the run was removed.
 func (a *Agent) nextSend(r *run) (*rpc.Conn, *wire.Part, *wire.End, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -373,10 +383,10 @@
 	return nil, nil, nil, false
 }
 
-// nextPart returns the next piece of the answer; the first one on a connection
+// nextPart returns the next part of the answer. The first part on a connection
 // carries the head, also when the answer has no body.
 func (r *run) nextPart() *wire.Part {
-	data, ok := r.out.From(r.sent, partBytes)
+	data, ok := r.out.From(r.sent, maxPartBytes)
 	if !ok {
 		panic("invariant: agent: unconfirmed bytes were dropped")
 	}
@@ -388,18 +398,20 @@
 	return part
 }
 
-// attach sends the answer from offset on over conn.
+// attach makes the run send its answer from offset on over conn. It returns false
+// if the buffer no longer holds the answer from there.
 func (a *Agent) attach(r *run, conn *rpc.Conn, offset int64) bool {
 	if _, ok := r.out.From(offset, 0); !ok {
 		return false
 	}
 	r.conn, r.sent, r.endSent, r.headSent = conn, offset, false, false
-	r.orphan = time.Time{}
-	poke(r.wake)
+	r.orphanedAt = time.Time{}
+	signal(r.wake)
 	return true
 }
 
-// detach notes that a connection closed; its runs wait for their entry.
+// detach is called when a connection has closed. Its runs wait for their entry to
+// resume them.
 func (a *Agent) detach(conn *rpc.Conn) {
 	now := time.Now()
 	a.mu.Lock()
@@ -407,33 +419,35 @@
 	for _, r := range a.runs {
 		if r.conn == conn {
 			r.conn = nil
-			r.orphan = now
+			r.orphanedAt = now
 		}
 	}
 }
 
-// reap drops runs that nobody will ask for any more and cancels orphans. A run
-// under a claim goes on without its entry, because its answer is recorded.
+// reap removes runs whose answer will not be requested again and cancels runs whose
+// entry has been disconnected for longer than OrphanAfter. A run under a claim
+// continues without its entry, because its answer is recorded. reap also removes
+// expired blocks.
 func (a *Agent) reap(now time.Time) {
 	for at, r := range a.runs {
 		switch {
-		case r.end != nil && (r.confirm || now.Sub(r.ended) > a.cfg.KeepEnded):
+		case r.end != nil && (r.confirmed || now.Sub(r.endedAt) > a.cfg.EndedRetention):
 			delete(a.runs, at)
-			poke(r.wake)
-		case r.end == nil && r.conn == nil && now.Sub(r.orphan) > a.cfg.OrphanAfter && r.params.Claim == nil:
+			signal(r.wake)
+		case r.end == nil && r.conn == nil && now.Sub(r.orphanedAt) > a.cfg.OrphanAfter && r.params.Claim == nil:
 			a.cancelRun(r)
 		case r.end == nil && r.started:
-			a.touch(r.id, now)
+			a.recordUse(r.replica, now)
 		}
 	}
-	for at, until := range a.barred {
+	for at, until := range a.blocked {
 		if now.After(until) {
-			delete(a.barred, at)
+			delete(a.blocked, at)
 		}
 	}
 }
 
-// cancelRun ends a run on behalf of its entry or for want of one.
+// cancelRun cancels a run for its entry, or because its entry is disconnected.
 func (a *Agent) cancelRun(r *run) {
 	if !r.started {
 		if a.queue.Cancel(r.params.Attempt) {
@@ -443,7 +457,7 @@
 	}
 	r.cancel()
 	id := r.params.Attempt.String()
-	a.goDo(func() {
+	a.spawn(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 		defer cancel()
 		_ = a.backend.Cancel(ctx, id)
