--- a/internal/app/ctl/client.go
+++ b/internal/app/ctl/client.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	retryPause = 300 * time.Millisecond
-	maxAnswer  = 256 << 20
+	retryInterval = 300 * time.Millisecond
+	maxAnswer     = 256 << 20
 )
 
-// newRequest returns an operator request id. It is kept across the command's
-// own retries, and printed so that an operator can resend by hand.
-func newRequest() string {
+// newRequestID returns a random operator request id. The command's own retries reuse
+// it, and it is printed so that an operator can resend the change by hand.
+func newRequestID() string {
 	b := make([]byte, 12)
 	_, _ = rand.Read(b)
 	return hex.EncodeToString(b)
@@ -42,19 +42,19 @@
 }
 
 func (c *cli) token() (string, error) {
-	if c.opts.Token == "" {
+	if c.opts.TokenFile == "" {
 		return "", nil
 	}
-	b, err := os.ReadFile(c.opts.Token)
+	b, err := os.ReadFile(c.opts.TokenFile)
 	if err != nil {
-		return "", fail(ExitUsage, "--token-file %q: %v", c.opts.Token, err)
+		return "", fail(ExitUsage, "--token-file %q: %v", c.opts.TokenFile, err)
 	}
 	return strings.TrimSpace(string(b)), nil
 }
 
-// call sends one request, to the next control host when one does not answer,
-// until the time is up. That is safe for changes because they carry an operator
-// request id: a resend gets the first answer.
+// call sends one request and retries it at the next control host until one answers or
+// the timeout passes. Retries are safe for changes because these carry an operator
+// request id: a repeated request gets the first answer.
 func (c *cli) call(method, path string, in, out any) error {
 	if len(c.opts.Control) == 0 {
 		return fail(ExitUsage, "--control is required: the URL of a control host's operator listener")
@@ -74,21 +74,21 @@
 	var last error
 	for i := 0; ctx.Err() == nil; i++ {
 		base := strings.TrimSuffix(c.opts.Control[i%len(c.opts.Control)], "/")
-		again, err := c.once(ctx, method, base+path, token, body, out)
-		if !again {
+		retry, err := c.sendOnce(ctx, method, base+path, token, body, out)
+		if !retry {
 			return err
 		}
 		last = err
 		select {
 		case <-ctx.Done():
-		case <-time.After(retryPause):
+		case <-time.After(retryInterval):
 		}
 	}
 	return fail(ExitUnknown, "no answer within %v: %v", c.opts.Timeout, last)
 }
 
-// once sends one request; again tells that another try may help.
-func (c *cli) once(ctx context.Context, method, url, token string, body []byte, out any) (again bool, err error) {
+// sendOnce sends one request. It reports whether a retry may succeed.
+func (c *cli) sendOnce(ctx context.Context, method, url, token string, body []byte, out any) (retry bool, err error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return false, fail(ExitUsage, "%v", err)
@@ -117,19 +117,19 @@
 	if res.StatusCode == http.StatusServiceUnavailable {
 		return true, fmt.Errorf("%s: %s", f.Code, f.Message)
 	}
-	return false, c.refused(res.StatusCode, f)
+	return false, c.refusalError(res.StatusCode, f)
 }
 
-// refused turns a refusal into an exit code, and shows the content in force on
-// a conflict.
-func (c *cli) refused(status int, f control.Failure) error {
+// refusalError returns the error for a refusal, with its exit code. For a conflict, its
+// text includes the content in force.
+func (c *cli) refusalError(status int, f control.Failure) error {
 	switch status {
 	case http.StatusConflict:
 		text := "conflict: " + f.Message
 		if f.Present != nil {
 			text += fmt.Sprintf("\nrevision %d in force:\n%s", f.Present.Revision, f.Present.Raw)
 		}
-		return &failure{code: ExitConflict, text: text, again: f.Code == control.CodeBehind}
+		return &failure{code: ExitConflict, text: text, retryable: f.Code == control.CodeBehind}
 	case http.StatusNotFound:
 		return fail(ExitNotFound, "not found: %s", f.Message)
 	case http.StatusUnprocessableEntity, http.StatusBadRequest:
@@ -138,7 +138,7 @@
 	return fail(ExitFailed, "%d %s: %s", status, f.Code, f.Message)
 }
 
-// print writes v as JSON, or as a table by table.
+// print writes v as JSON if --json is given, else it calls table.
 func (c *cli) print(v any, table func()) error {
 	if !c.opts.JSON {
 		table()
--- a/internal/app/ctl/commands.go
+++ b/internal/app/ctl/commands.go
@@ -23,9 +23,9 @@
 	Reason  string `long:"reason" description:"why, for the audit trail"`
 }
 
-func (f *changeFlags) id() string {
+func (f *changeFlags) requestID() string {
 	if f.Request == "" {
-		f.Request = newRequest()
+		f.Request = newRequestID()
 	}
 	return f.Request
 }
@@ -38,11 +38,11 @@
 		return err
 	}
 	return c.print(res, func() {
-		again := ""
+		suffix := ""
 		if res.Resent {
-			again = " (the first answer to this request)"
+			suffix = " (the first answer to this request)"
 		}
-		fmt.Fprintf(c.out, "revision %d is in force%s\nrequest %s\n", res.Revision, again, ch.Request)
+		fmt.Fprintf(c.out, "revision %d is in force%s\nrequest %s\n", res.Revision, suffix, ch.Request)
 	})
 }
 
@@ -60,11 +60,11 @@
 	if err != nil {
 		return err
 	}
-	return x.cli.change("/v1/records", control.Change{Request: x.id(), Record: raw, Reason: x.Reason})
+	return x.cli.change("/v1/records", control.Change{Request: x.requestID(), Record: raw, Reason: x.Reason})
 }
 
-// readRecord reads a record and checks it here first: every mistake is shown
-// without a journey.
+// readRecord reads a record and validates it locally, so that mistakes are reported
+// without a request to control.
 func readRecord(file string, in io.Reader) (record.Text, error) {
 	raw, err := readFile(file, in)
 	if err != nil {
@@ -102,7 +102,7 @@
 		}
 		x.Base = r.Revision
 	}
-	return x.cli.change("/v1/records", control.Change{Request: x.id(), Base: x.Base, Record: raw, Reason: x.Reason})
+	return x.cli.change("/v1/records", control.Change{Request: x.requestID(), Base: x.Base, Record: raw, Reason: x.Reason})
 }
 
 type withdrawCmd struct {
@@ -123,7 +123,7 @@
 		}
 		x.Base = r.Revision
 	}
-	return x.cli.change("/v1/records/"+url.PathEscape(x.Args.Name)+"/withdraw", control.Change{Request: x.id(), Base: x.Base, Reason: x.Reason})
+	return x.cli.change("/v1/records/"+url.PathEscape(x.Args.Name)+"/withdraw", control.Change{Request: x.requestID(), Base: x.Base, Reason: x.Reason})
 }
 
 func (c *cli) table(header string, rows func(add func(format string, args ...any))) {
@@ -186,7 +186,7 @@
 	return x.cli.print(r, func() { fmt.Fprintf(x.cli.out, "%s\n", r.Raw) })
 }
 
-// revisions returns the audit events that changed a record.
+// revisions returns the audit events of a record's changes.
 func (c *cli) revisions(name string) ([]state.AuditEvent, error) {
 	var es []state.AuditEvent
 	err := c.call(http.MethodGet, "/v1/audit?limit=100000&subject="+url.QueryEscape(name), nil, &es)
@@ -237,7 +237,7 @@
 	}
 	texts := map[ident.Index][]string{}
 	for _, e := range es {
-		texts[e.Index] = indented(e.Content)
+		texts[e.Index] = indentedLines(e.Content)
 	}
 	for _, i := range []ident.Index{x.Args.From, x.Args.To} {
 		if _, ok := texts[i]; !ok {
@@ -250,7 +250,7 @@
 	return nil
 }
 
-func indented(raw record.Text) []string {
+func indentedLines(raw record.Text) []string {
 	var v any
 	if json.Unmarshal([]byte(raw), &v) != nil {
 		return nil
@@ -262,18 +262,19 @@
 	return strings.Split(string(b), "\n")
 }
 
-// diffLines marks lines that only one side has, by the longest common
-// subsequence. Records are short enough for the simple table.
+// diffLines compares a and b by their longest common subsequence and marks the lines
+// that only one of them has. Its table has an element for each pair of lines; records
+// are short enough for that.
 func diffLines(a, b []string) []string {
-	l := make([][]int, len(a)+1)
-	for i := range l {
-		l[i] = make([]int, len(b)+1)
+	lcs := make([][]int, len(a)+1)
+	for i := range lcs {
+		lcs[i] = make([]int, len(b)+1)
 	}
 	for i := len(a) - 1; i >= 0; i-- {
 		for j := len(b) - 1; j >= 0; j-- {
-			l[i][j] = max(l[i+1][j], l[i][j+1])
+			lcs[i][j] = max(lcs[i+1][j], lcs[i][j+1])
 			if a[i] == b[j] {
-				l[i][j] = l[i+1][j+1] + 1
+				lcs[i][j] = lcs[i+1][j+1] + 1
 			}
 		}
 	}
@@ -284,7 +285,7 @@
 		case i < len(a) && j < len(b) && a[i] == b[j]:
 			out = append(out, "  "+a[i])
 			i, j = i+1, j+1
-		case j == len(b) || (i < len(a) && l[i+1][j] >= l[i][j+1]):
+		case j == len(b) || (i < len(a) && lcs[i+1][j] >= lcs[i][j+1]):
 			out = append(out, "- "+a[i])
 			i++
 		default:
@@ -297,8 +298,8 @@
 
 type digestCmd struct{ cli *cli }
 
-// Execute implements flags.Commander. The key is read from standard input, so
-// that it stands in no process list and no shell history.
+// Execute implements flags.Commander. The key is read from standard input, so that it
+// does not appear in process lists or the shell history.
 func (x *digestCmd) Execute([]string) error {
 	line, err := bufio.NewReader(x.cli.in).ReadString('\n')
 	if err != nil && line == "" {
--- a/internal/app/ctl/ctl.go
+++ b/internal/app/ctl/ctl.go
@@ -1,4 +1,6 @@
-// Package ctl is the operators' command line.
+// Package ctl implements cassiapassctl, the operators' command line. Its commands change
+// and list records through the API of the control hosts, show the state of the system,
+// and trace requests in log files.
 package ctl
 
 import (
@@ -18,23 +20,23 @@
 	ExitOK       = 0
 	ExitFailed   = 1
 	ExitUsage    = 2
-	ExitConflict = 3 // based on another revision than the one in force
+	ExitConflict = 3 // the change is based on a revision that is not in force
 	ExitNotFound = 4
-	ExitInvalid  = 5 // the record or command was refused as wrong
-	ExitUnknown  = 6 // no answer: it may have been carried out; run it again with the same --request
+	ExitInvalid  = 5 // the record or command is invalid
+	ExitUnknown  = 6 // no answer; the change may have been made: repeat it with the same --request
 )
 
-// options are the flags of every command.
+// options are the flags common to all commands.
 type options struct {
-	Control  []string      `long:"control" env:"CASSIAPASS_CONTROL_URL" env-delim:"," description:"URL of a control host's operator listener; repeat it for others to fall back on"`
-	Token    string        `long:"token-file" env:"CASSIAPASS_OPERATOR_TOKEN_FILE" description:"file with the operator token"`
-	Operator string        `long:"operator" env:"CASSIAPASS_OPERATOR" description:"name that stands in the audit trail"`
-	JSON     bool          `long:"json" env:"CASSIAPASS_JSON" description:"print JSON instead of a table"`
-	Timeout  time.Duration `long:"timeout" env:"CASSIAPASS_TIMEOUT" default:"30s" description:"time for the command, its own retries included"`
-	Version  func()        `long:"version" description:"print the version and exit"`
+	Control   []string      `long:"control" env:"CASSIAPASS_CONTROL_URL" env-delim:"," description:"URL of a control host's operator listener; repeat it for others to fall back on"`
+	TokenFile string        `long:"token-file" env:"CASSIAPASS_OPERATOR_TOKEN_FILE" description:"file with the operator token"`
+	Operator  string        `long:"operator" env:"CASSIAPASS_OPERATOR" description:"name that stands in the audit trail"`
+	JSON      bool          `long:"json" env:"CASSIAPASS_JSON" description:"print JSON instead of a table"`
+	Timeout   time.Duration `long:"timeout" env:"CASSIAPASS_TIMEOUT" default:"30s" description:"time for the command, its own retries included"`
+	Version   func()        `long:"version" description:"print the version and exit"`
 }
 
-// cli is one invocation.
+// cli is one invocation of cassiapassctl.
 type cli struct {
 	opts options
 	in   io.Reader
@@ -43,14 +45,14 @@
 	code int
 }
 
-// failure ends a command with an exit code.
+// failure is an error that ends a command with an exit code.
 type failure struct {
-	code  int
-	text  string
-	again bool // the same request will be carried out a little later
+	code      int
+	text      string
+	retryable bool // the same request can succeed shortly after
 }
 
-// Error returns what is printed.
+// Error returns the text printed to standard error.
 func (f *failure) Error() string { return f.text }
 
 func fail(code int, format string, args ...any) error {
--- a/internal/app/ctl/inspect.go
+++ b/internal/app/ctl/inspect.go
@@ -43,7 +43,7 @@
 	cli   *cli
 	Entry string `long:"entry" description:"URL of an entry's operator listener: explain a request id instead of a model"`
 	Args  struct {
-		What string `positional-arg-name:"MODEL-OR-REQUEST" description:"model@version[:adapter@version], or a request id with --entry"`
+		Query string `positional-arg-name:"MODEL-OR-REQUEST" description:"model@version[:adapter@version], or a request id with --entry"`
 	} `positional-args:"yes" required:"yes"`
 }
 
@@ -53,7 +53,7 @@
 		return x.request()
 	}
 	var ex control.Explanation
-	if err := x.cli.call(http.MethodGet, "/v1/explain/"+url.PathEscape(x.Args.What), nil, &ex); err != nil {
+	if err := x.cli.call(http.MethodGet, "/v1/explain/"+url.PathEscape(x.Args.Query), nil, &ex); err != nil {
 		return err
 	}
 	return x.cli.print(ex, func() { x.cli.explanation(ex) })
@@ -76,9 +76,9 @@
 	c.events(ex.Events)
 }
 
-// request asks an entry how a request ended.
+// request prints what an entry recorded of a request's outcome.
 func (x *explainCmd) request() error {
-	res, err := http.Get(strings.TrimSuffix(x.Entry, "/") + "/debug/requests/" + url.PathEscape(x.Args.What))
+	res, err := http.Get(strings.TrimSuffix(x.Entry, "/") + "/debug/requests/" + url.PathEscape(x.Args.Query))
 	if err != nil {
 		return fail(ExitFailed, "%v", err)
 	}
@@ -90,7 +90,7 @@
 	if res.StatusCode != http.StatusOK {
 		return fail(ExitNotFound, "%s", strings.TrimSpace(string(text)))
 	}
-	for _, l := range indented(record.Text(text)) {
+	for _, l := range indentedLines(record.Text(text)) {
 		fmt.Fprintln(x.cli.out, l)
 	}
 	return nil
@@ -98,7 +98,7 @@
 
 type statusCmd struct{ cli *cli }
 
-// Execute implements flags.Commander. Every control host is asked, because each
+// Execute implements flags.Commander. It queries every control host, because each
 // knows only its own subscribers.
 func (x *statusCmd) Execute([]string) error {
 	var all []wire.ControlStatus
--- a/internal/app/ctl/losses.go
+++ b/internal/app/ctl/losses.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// lossesCmd sorts the requests in log files that were not answered at once by what
-// decided that.
+// lossesCmd groups the requests in log files that were not answered at once by the cause
+// of the delay or failure.
 type lossesCmd struct {
 	cli  *cli
 	Args struct {
@@ -19,20 +19,20 @@
 	} `positional-args:"yes"`
 }
 
-// loss is one cause with the requests that it held up or ended.
+// loss is one cause and the requests that it delayed or ended.
 type loss struct {
 	Cause    string         `json:"cause"`
 	Requests int            `json:"requests"`
-	Answered int            `json:"answered"`          // of these, those that were answered after all
-	Waited   float64        `json:"waitedMeanSeconds"` // for an endpoint
+	Answered int            `json:"answered"`          // number of these that were answered later
+	Waited   float64        `json:"waitedMeanSeconds"` // mean wait for an endpoint
 	Routes   map[string]int `json:"routes"`
-	Seconds  map[int64]int  `json:"seconds"` // requests by the second in which they ended, from the first line on
+	Seconds  map[int64]int  `json:"seconds"` // number of requests that ended in each second, counted from the first log line
 }
 
-// losses is all of them, the most frequent first.
+// losses are all causes, the most frequent first.
 type losses struct {
-	Requests int    `json:"requests"` // that ended in the logs
-	Held     int    `json:"held"`     // of these, those that are sorted below
+	Requests int    `json:"requests"` // whose end is logged
+	Held     int    `json:"held"`     // number of these that are counted in Causes
 	Causes   []loss `json:"causes"`
 }
 
@@ -54,18 +54,18 @@
 	w := tabwriter.NewWriter(x.cli.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "requests\tanswered\tmean wait s\tworst second\tcause\troutes")
 	for _, l := range all.Causes {
-		second, most := worst(l.Seconds)
-		fmt.Fprintf(w, "%d\t%d\t%.2f\t%d in second %d\t%s\t%s\n", l.Requests, l.Answered, l.Waited, most, second, l.Cause, byCount(l.Routes))
+		second, count := worstSecond(l.Seconds)
+		fmt.Fprintf(w, "%d\t%d\t%.2f\t%d in second %d\t%s\t%s\n", l.Requests, l.Answered, l.Waited, count, second, l.Cause, byCount(l.Routes))
 	}
 	_ = w.Flush()
 }
 
-// sortLosses reads how requests ended.
+// sortLosses counts the requests that ended in the lines, by cause. It sorts lines by time.
 func sortLosses(lines []logLine) losses {
 	slices.SortStableFunc(lines, byTime)
 	var out losses
 	byCause := map[string]*loss{}
-	leaderless := map[string]bool{} // hosts that have lost the leader
+	leaderless := map[string]bool{} // hosts whose entry has lost the leader
 	for _, l := range lines {
 		event, host := l.Fields["event"], l.Fields["host"]
 		switch event {
@@ -74,14 +74,14 @@
 		case "control_regained", "deployment_in_force":
 			delete(leaderless, host)
 		}
-		ended, why := lossCause(l, leaderless[host])
+		ended, cause := lossCause(l, leaderless[host])
 		if !ended {
 			continue
 		}
 		out.Requests++
-		if why != "" {
+		if cause != "" {
 			out.Held++
-			note(byCause, why, l, int64(l.at.Sub(lines[0].at)/time.Second))
+			countLoss(byCause, cause, l, int64(l.at.Sub(lines[0].at)/time.Second))
 		}
 	}
 	for _, c := range byCause {
@@ -94,11 +94,11 @@
 	return out
 }
 
-func note(byCause map[string]*loss, why string, l logLine, second int64) {
-	c, known := byCause[why]
+func countLoss(byCause map[string]*loss, cause string, l logLine, second int64) {
+	c, known := byCause[cause]
 	if !known {
-		c = &loss{Cause: why, Routes: map[string]int{}, Seconds: map[int64]int{}}
-		byCause[why] = c
+		c = &loss{Cause: cause, Routes: map[string]int{}, Seconds: map[int64]int{}}
+		byCause[cause] = c
 	}
 	c.Requests++
 	if l.Fields["event"] == "request_answered" {
@@ -109,19 +109,20 @@
 	c.Seconds[second]++
 }
 
-// waited returns how long a request waited for an endpoint; logs tell milliseconds.
+// waited returns how long a request waited for an endpoint. The log field is in
+// milliseconds.
 func waited(l logLine) time.Duration {
 	d, err := time.ParseDuration(l.Fields["waited"] + "ms")
 	if err != nil {
-		return 0 // the line tells of no wait
+		return 0 // the line has no such field
 	}
 	return d
 }
 
-// lossCause reports whether a line tells how a request ended, and what held it up or
-// ended it; "" if it was answered at once.
-func lossCause(l logLine, leaderless bool) (ended bool, why string) {
-	reason := whyText(l.Fields["reason"])
+// lossCause reports whether a line logs the end of a request, and the cause that delayed
+// or ended it: "" if it was answered at once.
+func lossCause(l logLine, leaderless bool) (ended bool, cause string) {
+	reason := reasonText(l.Fields["reason"])
 	if leaderless && l.Fields["reason"] == "not_loaded" {
 		reason += ", and its entry knew no leader"
 	}
@@ -150,17 +151,17 @@
 	return false, ""
 }
 
-// worst returns the second with the most requests.
-func worst(seconds map[int64]int) (second int64, most int) {
+// worstSecond returns the second with the most requests.
+func worstSecond(seconds map[int64]int) (second int64, count int) {
 	for _, s := range slices.Sorted(maps.Keys(seconds)) {
-		if seconds[s] > most {
-			second, most = s, seconds[s]
+		if seconds[s] > count {
+			second, count = s, seconds[s]
 		}
 	}
-	return second, most
+	return second, count
 }
 
-// byCount lists routes, the most frequent first.
+// byCount lists routes with their counts, the most frequent first.
 func byCount(routes map[string]int) string {
 	names := slices.SortedFunc(maps.Keys(routes), func(a, b string) int { return cmp.Or(cmp.Compare(routes[b], routes[a]), cmp.Compare(a, b)) })
 	var out []string
--- a/internal/app/ctl/member.go
+++ b/internal/app/ctl/member.go
@@ -42,24 +42,24 @@
 	return x.cli.print(res, func() { fmt.Fprintln(x.cli.out, "done") })
 }
 
-const behindPause = 200 * time.Millisecond
+const changeRetryInterval = 200 * time.Millisecond
 
-// change asks for the change again while the member that was added last is
-// still catching up: that takes a second or two and needs no operator.
+// change requests a membership change. It retries while the member that was added last is
+// still catching up, which takes a second or two and needs no operator.
 func (x *memberCmd) change(p wire.MemberParams) (wire.MemberResult, error) {
 	var res wire.MemberResult
 	deadline := time.Now().Add(x.cli.opts.Timeout)
 	for {
 		err := x.cli.call(http.MethodPost, "/v1/members", p, &res)
 		var f *failure
-		if !errors.As(err, &f) || !f.again || time.Now().Add(behindPause).After(deadline) {
+		if !errors.As(err, &f) || !f.retryable || time.Now().Add(changeRetryInterval).After(deadline) {
 			return res, err
 		}
-		time.Sleep(behindPause)
+		time.Sleep(changeRetryInterval)
 	}
 }
 
-// address finds the address of a member that is known already.
+// address returns the address of an existing member.
 func (x *memberCmd) address(id consensus.NodeID) (string, error) {
 	var s wire.ControlStatus
 	if err := x.cli.call(http.MethodGet, "/v1/status", nil, &s); err != nil {
--- a/internal/app/ctl/trace.go
+++ b/internal/app/ctl/trace.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// traceCmd tells the story of one request from log files.
+// traceCmd reconstructs the course of one request from log files.
 type traceCmd struct {
 	cli  *cli
 	Args struct {
@@ -21,23 +21,23 @@
 	} `positional-args:"yes" required:"1"`
 }
 
-// logLine is one structured line.
+// logLine is one line of key=value pairs.
 type logLine struct {
 	at     time.Time
 	Fields map[string]string `json:"fields"`
 	Text   string            `json:"text"`
 }
 
-// story is what is known of one request.
-type story struct {
+// requestTrace holds the log lines of one request and the cause of its outcome.
+type requestTrace struct {
 	Request string    `json:"request"`
 	Lines   []logLine `json:"lines"`
 	Cause   string    `json:"cause"`
 }
 
-// around is how long before a request's first line, and after its last one, the
-// orders for its model and the changes of its endpoints belong to its story.
-const around = 2 * time.Second
+// contextWindow is the time before a request's first line and after its last one in which
+// orders for its model and changes of its endpoints are included in its trace.
+const contextWindow = 2 * time.Second
 
 // Execute implements flags.Commander.
 func (x *traceCmd) Execute([]string) error {
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	s, ok := tell(x.Args.Request, lines)
+	s, ok := traceRequest(x.Args.Request, lines)
 	if !ok {
 		return fail(ExitNotFound, "no line names request %s; the lines of ordinary successes are left out first when there are too many", x.Args.Request)
 	}
@@ -86,8 +86,8 @@
 
 const maxLine = 1 << 20
 
-// parseLines reads lines of key=value pairs; others are passed over. What stands
-// before the first pair, as collectors add it, is ignored.
+// parseLines reads lines of key=value pairs and skips all others. Text before the first
+// pair, which log collectors add, is ignored.
 func parseLines(r io.Reader) ([]logLine, error) {
 	var out []logLine
 	sc := bufio.NewScanner(r)
@@ -109,7 +109,7 @@
 	return out, sc.Err()
 }
 
-// parsePairs reads key=value pairs; values may be quoted.
+// parsePairs parses key=value pairs. Values may be quoted.
 func parsePairs(s string) map[string]string {
 	out := map[string]string{}
 	for s != "" {
@@ -141,9 +141,10 @@
 	return s, ""
 }
 
-// tell picks the lines that belong to a request, in order, and its cause.
-func tell(request string, all []logLine) (story, bool) {
-	s := story{Request: request}
+// traceRequest returns the lines that concern a request, in order of time, and the cause
+// of its outcome. It returns false if no line names the request.
+func traceRequest(request string, all []logLine) (requestTrace, bool) {
+	s := requestTrace{Request: request}
 	var own []logLine
 	for _, l := range all {
 		if l.Fields["request"] == request {
@@ -154,34 +155,34 @@
 		return s, false
 	}
 	slices.SortStableFunc(own, byTime)
-	from, to := own[0].at.Add(-around), own[len(own)-1].at.Add(around)
-	near := surroundings{map[string]bool{}, map[string]bool{}, map[string]bool{}}
+	from, to := own[0].at.Add(-contextWindow), own[len(own)-1].at.Add(contextWindow)
+	related := relatedNames{map[string]bool{}, map[string]bool{}, map[string]bool{}}
 	for _, l := range own {
-		near.models[l.Fields["model"]] = true
-		near.endpoints[l.Fields["endpoint"]] = true
-		near.hosts[l.Fields["host"]] = true
+		related.models[l.Fields["model"]] = true
+		related.endpoints[l.Fields["endpoint"]] = true
+		related.hosts[l.Fields["host"]] = true
 	}
 	s.Lines = own
 	for _, l := range all {
-		if l.Fields["request"] != "" || l.at.Before(from) || l.at.After(to) || !near.concerns(l) {
+		if l.Fields["request"] != "" || l.at.Before(from) || l.at.After(to) || !related.match(l) {
 			continue
 		}
 		s.Lines = append(s.Lines, l)
 	}
 	slices.SortStableFunc(s.Lines, byTime)
-	s.Cause = cause(own, s.Lines)
+	s.Cause = outcomeCause(own, s.Lines)
 	return s, true
 }
 
 func byTime(a, b logLine) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) }
 
-// surroundings are what a request had to do with.
-type surroundings struct{ models, endpoints, hosts map[string]bool }
+// relatedNames are the models, endpoints and hosts that a request's lines name.
+type relatedNames struct{ models, endpoints, hosts map[string]bool }
 
-// concerns reports whether a line that names no request belongs to the story:
-// an order for its model or its ETA, a change of an endpoint that it was sent to, or what
-// its entry learned; and who leads.
-func (s surroundings) concerns(l logLine) bool {
+// match reports whether a line that names no request belongs to the trace: an order for
+// the request's model, the model's ETA, a change of an endpoint that the request was sent
+// to, a leader or deployment that its entry received or lost, or a change of leader.
+func (s relatedNames) match(l logLine) bool {
 	event := l.Fields["event"]
 	switch {
 	case strings.HasPrefix(event, "order_"), event == "model_eta":
@@ -194,17 +195,17 @@
 	return event == "leadership_taken"
 }
 
-// cause says in one line what decided how the request ended.
-func cause(own, all []logLine) string {
+// outcomeCause states in one line what decided the outcome of the request.
+func outcomeCause(own, all []logLine) string {
 	last := own[len(own)-1]
 	event := last.Fields["event"]
 	switch event {
 	case "request_answered":
 		return answeredCause(last, all)
 	case "request_not_run":
-		return "refused, it did not run: " + whyText(last.Fields["reason"]) + readyText(last) + waitedText(last)
+		return "refused, it did not run: " + reasonText(last.Fields["reason"]) + etaText(last) + waitedText(last)
 	case "request_unauthorized", "request_over_allowance":
-		return "refused, it did not run: " + whyText(last.Fields["reason"])
+		return "refused, it did not run: " + reasonText(last.Fields["reason"])
 	case "request_stopping":
 		return "refused, it did not run: the entry was stopping"
 	case "request_caller_gone":
@@ -212,7 +213,7 @@
 	case "request_failed_by_endpoint":
 		return "endpoint " + last.Fields["endpoint"] + " answered with status " + last.Fields["status"] + " itself"
 	case "request_cut", "request_unknown":
-		return "its fate is open: " + brokenText(last, own)
+		return "its fate is open: " + unknownCause(last, own)
 	}
 	return "the newest line is " + event
 }
@@ -226,10 +227,10 @@
 			return "answered after a load from " + l.Fields["source"] + " that took " + l.Fields["took"] + " ms" + waitedText(last)
 		}
 	}
-	return "answered after a wait: " + whyText(last.Fields["reason"]) + waitedText(last)
+	return "answered after a wait: " + reasonText(last.Fields["reason"]) + waitedText(last)
 }
 
-func brokenText(last logLine, own []logLine) string {
+func unknownCause(last logLine, own []logLine) string {
 	for i := len(own) - 1; i >= 0; i-- {
 		if e := own[i].Fields["event"]; e == "endpoint_answer_broken" || e == "endpoint_no_answer" {
 			return "endpoint " + own[i].Fields["endpoint"] + " broke off: " + own[i].Fields["error"]
@@ -245,15 +246,15 @@
 	return ""
 }
 
-// readyText tells the ETA of the model that a request was refused for.
-func readyText(l logLine) string {
+// etaText returns the ETA of the model of a refused request, if it was logged.
+func etaText(l logLine) string {
 	if ready := l.Fields["ready"]; ready != "" {
 		return ", whose ETA was " + ready + " ms"
 	}
 	return ""
 }
 
-func whyText(reason string) string {
+func reasonText(reason string) string {
 	text, known := map[string]string{
 		"no_endpoint":  "no endpoint of its service was up",
 		"not_loaded":   "no endpoint held its model or adapter",
--- a/internal/app/ctl/trace_test.go
+++ b/internal/app/ctl/trace_test.go
@@ -11,7 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// traceLog holds lines of a run, in the order in which a collector had them.
+// traceLog holds log lines in the order in which a collector received them, not in order
+// of time.
 const traceLog = `
 noise without pairs
   10.5 edge-1/entry time=2026-08-20T03:39:10.5Z level=warn event=request_not_run host=edge-1 model=m1 reason=not_loaded request=r1 role=entry sends=0 status=503 took=1320 waited=1315.8
@@ -36,7 +37,7 @@
 	return code, out.String(), errs.String()
 }
 
-func TestTraceTellsTheCauseInItsLastLine(t *testing.T) {
+func TestTraceEndsWithTheCause(t *testing.T) {
 	cases := []struct{ request, cause, has, hasNot string }{
 		{"r1", "cause: refused, it did not run: no endpoint held its model or adapter; it waited 1315.8 ms for an endpoint", "answer=unsent", "model=other"},
 		{"r2", "cause: its fate is open: endpoint i-2 broke off: unexpected EOF", "event=request_sent", "i-9"},
@@ -62,7 +63,7 @@
 	is.NoErr(os.WriteFile(filepath.Join(dir, "a.log"), []byte(traceLog), 0o600))
 	code, out, _ := trace(t, "--json", "r1", dir)
 	is.Equal(code, ExitOK)
-	var s story
+	var s requestTrace
 	is.NoErr(json.Unmarshal([]byte(out), &s))
 	is.Equal(len(s.Lines), 3)
 	is.Equal(s.Lines[0].Fields["event"], "request_waits") // in order of time
