--- a/internal/app/daemon/agent.go
+++ b/internal/app/daemon/agent.go
@@ -39,7 +39,7 @@
 	fenceIgnored  = "ignored"
 )
 
-// Agent runs cassiapass-agent until it is told to stop.
+// Agent runs cassiapass-agent until a stop signal arrives and returns its exit code.
 func Agent(args []string, out, errs io.Writer) (int, error) {
 	var o AgentOptions
 	cfg := agent.DefaultConfig()
@@ -51,7 +51,7 @@
 		c.Addr("listen", o.Listen, false)
 		c.Addr("advertise", o.Advertise, true)
 		c.Addr("operator-listen", o.HTTP, false)
-		checkBackend(c, o)
+		checkEngineOrPlain(c, o)
 		settings.Positive(c, "slots", o.Slots)
 		settings.Positive(c, "max-queue", o.MaxQueue)
 		settings.Positive(c, "drain-limit", o.DrainLimit)
@@ -79,14 +79,15 @@
 		a.Kill()
 		return exitFailed, err
 	}
-	Wait(log)
+	WaitForStop(log)
 	a.Stop(o.DrainLimit)
 	ops.Close()
 	return 0, nil
 }
 
-// checkBackend checks that exactly one of engine and plain service is given.
-func checkBackend(c *settings.Checker, o AgentOptions) {
+// checkEngineOrPlain checks that exactly one of --engine-url and --plain-url is given,
+// and the settings that belong to it.
+func checkEngineOrPlain(c *settings.Checker, o AgentOptions) {
 	if (o.Engine == "") == (o.Plain == "") {
 		c.Fail("engine-url", o.Engine, "give either --engine-url or --plain-url")
 		return
--- a/internal/app/daemon/clock_test.go
+++ b/internal/app/daemon/clock_test.go
@@ -11,30 +11,28 @@
 	"testing"
 )
 
-// timeOfDay are the places that may take a point in time apart into the time of
-// day, by file and function, with the reason why a step of the clock does no harm
-// there.
-var timeOfDay = map[string]string{
-	"internal/app/agent/agent.go New":                  "number of this start; on a host whose clock was set back it is refused until the clock has caught up",
-	"internal/app/entry/entry.go New":                  "number of this start; told apart, never put in order",
-	"internal/app/dev/dev.go OpenAgent":                "number of this start, on a laptop",
-	"internal/app/capacity/control.go subscribe":       "number of this start, of a measuring tool",
-	"internal/app/capacity/control.go submit":          "an id, unique by chance",
-	"internal/app/capacity/streams.go stream":          "an id, unique by chance",
-	"internal/app/load/load.go Main":                   "a prefix of ids, unique by chance",
-	"internal/app/ctl/trace.go byTime":                 "log lines of several hosts, put in order for a reader",
-	"internal/app/control/loop.go now":                 "a start that the steady clock advances",
+// allowedWallClock lists the functions that may use the wall-clock reading of a time.Time,
+// by file and name, with the reason why a step of the wall clock does no harm there.
+var allowedWallClock = map[string]string{
+	"internal/app/agent/agent.go New":                  "incarnation number; on a host whose clock was set back it is refused until the clock has caught up",
+	"internal/app/entry/entry.go New":                  "incarnation number; compared for equality only, never ordered",
+	"internal/app/dev/dev.go OpenAgent":                "incarnation number, in the development system",
+	"internal/app/capacity/control.go subscribe":       "incarnation number, of a measuring tool",
+	"internal/app/capacity/control.go submit":          "an id, not expected to repeat",
+	"internal/app/capacity/streams.go stream":          "an id, not expected to repeat",
+	"internal/app/load/load.go Main":                   "a prefix of ids, not expected to repeat",
+	"internal/app/ctl/trace.go byTime":                 "log lines of several hosts, sorted for display",
+	"internal/app/control/loop.go now":                 "a start time that the monotonic clock advances",
 	"internal/app/capacity/page.go replicaChangeBytes": "a fixed time in an example",
-	"internal/core/state/claims.go putClaim":           "the state's own time, which control advances by the steady clock",
+	"internal/core/state/claims.go putClaim":           "the state's own time, which control advances by the monotonic clock",
 }
 
-// Symptom: after a step of a host's clock, silence is not noticed, or something
-// that is kept for an hour is dropped at once.
-// Sequence: the time of day jumps by seconds or hours, and perhaps back.
-// Cause: a point in time that is stored as a number, or read from one, has lost its
-// steady clock; differences of such points follow the time of day.
+// A step of a host's wall clock, by seconds or hours, forward or back, must not affect any
+// decision: a silent process would not be noticed, or something that is kept for an hour
+// would be dropped at once. A time.Time that is converted to or from a number loses its
+// monotonic clock reading, and differences of such times follow the wall clock.
 func TestTimeOfDayDecidesNothing(t *testing.T) {
-	stripping := []string{"Unix", "UnixMilli", "UnixMicro", "UnixNano", "Round", "UTC"}
+	wallClockMethods := []string{"Unix", "UnixMilli", "UnixMicro", "UnixNano", "Round", "UTC"}
 	found := map[string]bool{}
 	for _, root := range []string{"internal", "platform", "cmd"} {
 		err := filepath.WalkDir(filepath.Join("../../..", root), func(path string, d fs.DirEntry, err error) error {
@@ -57,19 +55,19 @@
 						return true
 					}
 					sel, ok := call.Fun.(*ast.SelectorExpr)
-					if !ok || !slices.Contains(stripping, sel.Sel.Name) {
+					if !ok || !slices.Contains(wallClockMethods, sel.Sel.Name) {
 						return true
 					}
 					if pkg, ok := sel.X.(*ast.Ident); ok && (pkg.Name == "math" || pkg.Name == "time") {
-						return true // math.Round; time.Unix makes the fixed start of virtual clocks
+						return true // math.Round, or time.Unix for the fixed start of a virtual clock
 					}
 					if sel.Sel.Name == "Round" && len(call.Args) == 1 {
-						return true // of a duration
+						return true // Duration.Round
 					}
 					place := name + " " + fn.Name.Name
 					found[place] = true
-					if timeOfDay[place] == "" {
-						t.Errorf("%s calls %s: a step of the clock would show", place, sel.Sel.Name)
+					if allowedWallClock[place] == "" {
+						t.Errorf("%s calls %s: a step of the wall clock would affect it", place, sel.Sel.Name)
 					}
 					return true
 				})
@@ -80,9 +78,9 @@
 			t.Fatal(err)
 		}
 	}
-	for place := range timeOfDay {
+	for place := range allowedWallClock {
 		if !found[place] {
-			t.Errorf("%s does not take a point in time apart any more", place)
+			t.Errorf("%s does not use the wall clock any more; remove it from allowedWallClock", place)
 		}
 	}
 }
--- a/internal/app/daemon/control.go
+++ b/internal/app/daemon/control.go
@@ -16,10 +16,11 @@
 	"github.com/rs/zerolog"
 )
 
-// maxStoreConcurrent bounds the loads at once: the planner keeps a slot for each.
+// maxStoreConcurrent limits --store-concurrent: the planner keeps a slot for each
+// concurrent load.
 const maxStoreConcurrent = 1000
 
-// exitFailed is the exit code of a process that could not start or go on.
+// exitFailed is the exit code of a process that could not start or continue.
 const exitFailed = 1
 
 // ControlOptions are the settings of cassiapass-control.
@@ -35,7 +36,7 @@
 	Data              string            `long:"data" env:"CASSIAPASS_DATA" description:"data folder"`
 	Bootstrap         bool              `long:"bootstrap" env:"CASSIAPASS_BOOTSTRAP" description:"start a new group if the data folder is empty; on the first host only"`
 	HostList          string            `long:"host-list-url" env:"CASSIAPASS_HOST_LIST_URL" description:"URL of the platform's list of hosts"`
-	HostEvery         time.Duration     `long:"host-list-interval" env:"CASSIAPASS_HOST_LIST_INTERVAL" default:"2s" description:"time between reads of the host list"`
+	HostListInterval  time.Duration     `long:"host-list-interval" env:"CASSIAPASS_HOST_LIST_INTERVAL" default:"2s" description:"time between reads of the host list"`
 	GoneWait          time.Duration     `long:"gone-wait" env:"CASSIAPASS_GONE_WAIT" default:"30s" description:"absence from the host list before a silent host is forgotten; longer than the list may lag"`
 	StoreRate         float64           `long:"store-rate" env:"CASSIAPASS_STORE_RATE" default:"10" description:"loads per second that the weight store allows"`
 	StoreConcurrent   int               `long:"store-concurrent" env:"CASSIAPASS_STORE_CONCURRENT" default:"4" description:"loads at once that the store serves at full speed"`
@@ -46,7 +47,7 @@
 	Logging           settings.Logging  `group:"Logging"`
 }
 
-// Control runs cassiapass-control until it is told to stop.
+// Control runs cassiapass-control until a stop signal arrives and returns its exit code.
 func Control(args []string, out, errs io.Writer) (int, error) {
 	var o ControlOptions
 	cfg := control.Config{Leases: member.DefaultConfig(), Placement: placement.DefaultConfig()}
@@ -60,7 +61,7 @@
 		if o.Data == "" {
 			c.Fail("data", "", "required: a folder on a disk that lasts")
 		}
-		settings.Positive(c, "host-list-interval", o.HostEvery)
+		settings.Positive(c, "host-list-interval", o.HostListInterval)
 		settings.Positive(c, "gone-wait", o.GoneWait)
 		settings.Positive(c, "store-rate", o.StoreRate)
 		if o.StoreConcurrent < 1 || o.StoreConcurrent > maxStoreConcurrent {
@@ -84,10 +85,10 @@
 	cfg.Placement.StoreRate, cfg.Placement.StoreConcurrent = o.StoreRate, o.StoreConcurrent
 	cfg.Placement.RemoteSpeed, cfg.Placement.DiskSpeed, cfg.Placement.MemorySpeed = o.StoreSpeed, o.DiskSpeed, o.MemorySpeed
 	if o.HostList != "" {
-		cfg.HostList, cfg.HostEvery = hostlisthttp.New(o.HostList), o.HostEvery
+		cfg.HostList, cfg.HostEvery = hostlisthttp.New(o.HostList), o.HostListInterval
 	}
 	cfg.Fatal = func(err error) {
-		// A failed write or sync: nothing may be acknowledged any more.
+		// After a failed write or sync, nothing may be acknowledged.
 		log.Error().Err(err).Msg("disk_failed")
 		os.Exit(exitFailed)
 	}
@@ -100,7 +101,7 @@
 		c.Kill()
 		return exitFailed, err
 	}
-	Wait(log)
+	WaitForStop(log)
 	c.Stop()
 	api.Close()
 	return 0, nil
--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -1,6 +1,7 @@
-// Package daemon holds what the daemons share: HTTP listeners with limits and
-// the two-step stop. The first SIGTERM or SIGINT is a graceful shutdown, a
-// second one stops at once.
+// Package daemon runs the daemons cassiapass-control, cassiapass-entry and
+// cassiapass-agent from their settings. They share HTTP listeners with limits and a
+// shutdown in two steps: the first SIGTERM or SIGINT stops gracefully, a second one
+// exits immediately.
 package daemon
 
 import (
@@ -22,11 +23,11 @@
 )
 
 const (
-	headerTimeout = 5 * time.Second  // a caller that sends its header slower is cut off
-	bodyTimeout   = 30 * time.Second // header and body together
+	headerTimeout = 5 * time.Second  // callers that send their header more slowly are disconnected
+	bodyTimeout   = 30 * time.Second // limit for reading header and body together
 	idleTimeout   = 60 * time.Second
 	maxHeader     = 32 << 10
-	maxConns      = 16384 // per listener; more wait in the kernel's queue
+	maxConns      = 16384 // per listener; further connections wait in the kernel's queue
 )
 
 // HTTP is one running HTTP listener.
@@ -35,7 +36,8 @@
 	l   net.Listener
 }
 
-// Serve starts an HTTP listener. With a certificate it speaks TLS.
+// Serve starts an HTTP listener at addr. It uses TLS if cert is not empty; cert and key are
+// names of PEM files. It returns an error if it cannot listen or load the certificate.
 func Serve(addr string, h http.Handler, cert, key string, log zerolog.Logger) (*HTTP, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -62,14 +64,15 @@
 // Addr returns the address that the listener is bound to.
 func (s *HTTP) Addr() string { return s.l.Addr().String() }
 
-// Shutdown stops accepting and waits for requests in progress.
+// Shutdown stops accepting connections and waits for requests in progress until ctx ends.
 func (s *HTTP) Shutdown(ctx context.Context) { _ = s.srv.Shutdown(ctx) }
 
-// Close cuts everything.
+// Close closes the listener and all connections immediately.
 func (s *HTTP) Close() { _ = s.srv.Close() }
 
-// Wait returns at the first signal to stop. A second one ends the process.
-func Wait(log zerolog.Logger) {
+// WaitForStop returns at the first SIGTERM or SIGINT. A second one exits the process with
+// code 1.
+func WaitForStop(log zerolog.Logger) {
 	ch := make(chan os.Signal, 2)
 	signal.Notify(ch, syscall.SIGTERM, syscall.SIGINT)
 	s := <-ch
--- a/internal/app/daemon/docs_test.go
+++ b/internal/app/daemon/docs_test.go
@@ -19,7 +19,7 @@
 	tableEnd      = "<!-- end of settings -->"
 )
 
-// settingsTables writes one table per daemon from its flags.
+// settingsTables returns a Markdown table of the flags of each daemon.
 func settingsTables(t *testing.T) string {
 	t.Helper()
 	var b strings.Builder
@@ -43,7 +43,7 @@
 	return b.String()
 }
 
-// The settings on the operators' page are those of the flags. Run with
+// The settings tables on the operators' page must match the flags. Run with
 // CASSIAPASS_UPDATE_DOCS=1 to rewrite them.
 func TestSettingsOnTheOperatorsPage(t *testing.T) {
 	is := is.New(t)
@@ -64,12 +64,12 @@
 }
 
 var (
-	metricName = regexp.MustCompile(`"(cassiapass_[a-z_]+)`)
-	metricMade = regexp.MustCompile("`(cassiapass_[a-z_]+)\\{")
-	eventName  = regexp.MustCompile(`\.Msg\("([a-z_]+)"\)`)
+	metricName       = regexp.MustCompile(`"(cassiapass_[a-z_]+)`)
+	metricWithLabels = regexp.MustCompile("`(cassiapass_[a-z_]+)\\{")
+	eventName        = regexp.MustCompile(`\.Msg\("([a-z_]+)"\)`)
 )
 
-// Every metric and log event of the code is explained to operators.
+// Every metric and log event in the code must be explained on the operators' pages.
 func TestEveryMetricAndEventIsExplained(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile(operatorsPage)
@@ -85,7 +85,7 @@
 		if err != nil {
 			return err
 		}
-		for _, re := range []*regexp.Regexp{metricName, metricMade, eventName} {
+		for _, re := range []*regexp.Regexp{metricName, metricWithLabels, eventName} {
 			for _, m := range re.FindAllStringSubmatch(string(src), -1) {
 				if !strings.Contains(string(page), "`"+m[1]+"`") {
 					t.Errorf("%s: %s is not on the operators' page", path, m[1])
@@ -102,8 +102,8 @@
 	citedEvent  = regexp.MustCompile("`([a-z]+(?:_[a-z]+)+)`")
 )
 
-// Every metric and event that the on-call page cites exists in the code: a page
-// that names what is no longer written sends its reader nowhere.
+// Every metric and event that the on-call page cites must exist in the code, or its reader
+// would search for something that is no longer written.
 func TestOnCallPageCitesWhatExists(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile(onCallPage)
@@ -120,7 +120,7 @@
 	is.NoErr(err)
 	for _, m := range citedMetric.FindAllStringSubmatch(string(page), -1) {
 		if !strings.Contains(code.String(), m[1]) {
-			t.Errorf("the on-call page cites metric %s, which nothing measures", m[1])
+			t.Errorf("the on-call page cites metric %s, which is not in the code", m[1])
 		}
 	}
 	_, events, found := strings.Cut(string(page), "## Events")
@@ -128,10 +128,10 @@
 	events, _, found = strings.Cut(events, "## Metrics")
 	is.True(found)
 	for _, m := range citedEvent.FindAllStringSubmatch(events, -1) {
-		// The events at the end of a request and of an attempt are put together.
+		// The names of events at the end of a request or an attempt are concatenated.
 		_, ending, _ := strings.Cut(m[1], "_")
 		if !strings.Contains(code.String(), `"`+m[1]+`"`) && !strings.Contains(code.String(), `"`+ending+`"`) {
-			t.Errorf("the on-call page cites event %s, which nothing logs", m[1])
+			t.Errorf("the on-call page cites event %s, which is not in the code", m[1])
 		}
 	}
 }
--- a/internal/app/daemon/entry.go
+++ b/internal/app/daemon/entry.go
@@ -32,7 +32,7 @@
 	Logging           settings.Logging  `group:"Logging"`
 }
 
-// Entry runs cassiapass-entry until it is told to stop.
+// Entry runs cassiapass-entry until a stop signal arrives and returns its exit code.
 func Entry(args []string, out, errs io.Writer) (int, error) {
 	var o EntryOptions
 	cfg := entry.DefaultConfig()
@@ -71,18 +71,19 @@
 		return exitFailed, err
 	}
 	fmt.Fprintf(errs, "entry %s serves callers at %s\n", o.Host, api.Addr())
-	Wait(log)
+	WaitForStop(log)
 	StopEntry(e, api, o.BalancerWait, o.DrainLimit)
 	ops.Close()
 	return 0, nil
 }
 
-// StopEntry is the graceful shutdown of an entry: readiness falls first, the
-// balancer gets time to notice, then requests in progress end.
-func StopEntry(e *entry.Entry, api *HTTP, balancer, limit time.Duration) {
+// StopEntry shuts an entry down gracefully: it reports not ready, waits balancerWait so
+// that the load balancer can notice, closes the listener and waits up to drainLimit for
+// requests in progress.
+func StopEntry(e *entry.Entry, api *HTTP, balancerWait, drainLimit time.Duration) {
 	e.Retire()
-	time.Sleep(balancer)
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	time.Sleep(balancerWait)
+	ctx, cancel := context.WithTimeout(context.Background(), drainLimit)
 	defer cancel()
 	closed := make(chan struct{})
 	go func() {
--- a/internal/app/daemon/usage_test.go
+++ b/internal/app/daemon/usage_test.go
@@ -10,10 +10,8 @@
 	"github.com/cassiapass/cassiapass/internal/adapter/settings"
 )
 
-// Symptom: a service manager that keeps standard error shows nothing of why a
-// daemon did not start.
-// Sequence: a daemon is started without its settings.
-// Cause: the mistakes were written to standard output.
+// A daemon that is started without its settings must write the errors to standard error: a
+// service manager that keeps only standard error would not show why it did not start.
 func TestUsageErrorsGoToStandardError(t *testing.T) {
 	for name, run := range map[string]func([]string, io.Writer, io.Writer) (int, error){"entry": Entry, "agent": Agent, "control": Control} {
 		t.Run(name, func(t *testing.T) {
@@ -30,7 +28,7 @@
 			code, err := run([]string{"--help"}, &out, &errs)
 			is.NoErr(err)
 			is.Equal(code, 0)
-			is.True(out.Len() > 0) // what was asked for goes to standard output
+			is.True(out.Len() > 0) // help that was requested goes to standard output
 		})
 	}
 }
--- a/internal/app/dev/main.go
+++ b/internal/app/dev/main.go
@@ -75,7 +75,7 @@
 		return 1, err
 	}
 	s.banner(out)
-	daemon.Wait(cfg.Log)
+	daemon.WaitForStop(cfg.Log)
 	stop, done := context.WithTimeout(context.Background(), stopLimit)
 	defer done()
 	s.Stop(stop)
@@ -90,7 +90,7 @@
 	if err != nil {
 		return 1, err
 	}
-	daemon.Wait(log)
+	daemon.WaitForStop(log)
 	srv.Close()
 	return 0, nil
 }
