--- a/internal/app/load/load.go
+++ b/internal/app/load/load.go
@@ -1,8 +1,9 @@
-// Package load sends requests at a steady rate and reports how they ended.
+// Package load implements cassiapass-load, a load generator that sends requests at a
+// constant rate and reports their outcomes and latencies.
 //
-// The rate is open loop: each request has its time from the start and its
-// latency counts from that time, whether the one before has ended or not. A
-// system that stalls therefore shows the whole stall in its percentiles.
+// The load is open loop: each request has a scheduled time, whether or not earlier requests
+// have ended, and its latency counts from that time. The percentiles therefore include the
+// whole of a stall (no coordinated omission).
 package load
 
 import (
@@ -39,13 +40,13 @@
 	Quiet    bool          `long:"quiet" env:"CASSIAPASS_LOAD_QUIET" description:"no progress lines"`
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Requests  int            `json:"requests"`
 	Seconds   float64        `json:"seconds"`
-	Outcomes  map[string]int `json:"outcomes"` // by outcome and status; "lost" for requests without an outcome
+	Outcomes  map[string]int `json:"outcomes"` // by outcome and status; "lost: ..." for requests without an outcome
 	FirstByte Quantiles      `json:"firstByteMillis"`
-	Whole     Quantiles      `json:"wholeMillis"`
+	LastByte  Quantiles      `json:"wholeMillis"`
 }
 
 // Quantiles are latencies in milliseconds.
@@ -58,24 +59,24 @@
 }
 
 const (
-	maxMicros = 600_000_000
-	digits    = 3
-	maxAnswer = 64 << 20
+	maxLatencyMicros  = 600_000_000
+	significantDigits = 3
+	maxAnswer         = 64 << 20
 )
 
-// runner is one run.
+// runner holds the state of one run.
 type runner struct {
-	o      options
-	key    string
-	client *http.Client
-	mu     sync.Mutex
-	rep    Report
-	first  *hdrhistogram.Histogram
-	whole  *hdrhistogram.Histogram
-	id     int64
+	o         options
+	key       string
+	client    *http.Client
+	mu        sync.Mutex
+	report    Report
+	firstByte *hdrhistogram.Histogram
+	lastByte  *hdrhistogram.Histogram
+	firstID   int64
 }
 
-// Main runs cassiapass-load.
+// Main runs cassiapass-load and returns its exit code. It reads the caller key with getenv.
 func Main(args []string, getenv func(string) string, out, errs io.Writer) (int, error) {
 	var o options
 	code, ok := settings.Parse(&o, args, out, errs, func(c *settings.Checker) {
@@ -92,19 +93,19 @@
 	if !ok {
 		return code, nil
 	}
-	r := &runner{o: o, key: getenv(o.Key), first: hdrhistogram.New(1, maxMicros, digits), whole: hdrhistogram.New(1, maxMicros, digits), id: time.Now().UnixNano()}
-	r.rep.Outcomes = map[string]int{}
+	r := &runner{o: o, key: getenv(o.Key), firstByte: hdrhistogram.New(1, maxLatencyMicros, significantDigits), lastByte: hdrhistogram.New(1, maxLatencyMicros, significantDigits), firstID: time.Now().UnixNano()}
+	r.report.Outcomes = map[string]int{}
 	r.client = &http.Client{Timeout: o.Timeout, Transport: &http.Transport{MaxIdleConnsPerHost: 4096}}
 	r.run(errs)
 	if o.JSON {
-		return 0, json.NewEncoder(out).Encode(r.rep)
+		return 0, json.NewEncoder(out).Encode(r.report)
 	}
-	return 0, r.rep.table(out)
+	return 0, r.report.table(out)
 }
 
 func (r *runner) run(errs io.Writer) {
 	begin := time.Now()
-	gap := time.Duration(float64(time.Second) / r.o.Rate)
+	interval := time.Duration(float64(time.Second) / r.o.Rate)
 	total := int(r.o.Rate * r.o.Duration.Seconds())
 	stop := make(chan struct{})
 	if !r.o.Quiet {
@@ -112,14 +113,14 @@
 	}
 	var wg sync.WaitGroup
 	for i := range total {
-		due := begin.Add(time.Duration(i) * gap)
+		due := begin.Add(time.Duration(i) * interval)
 		time.Sleep(time.Until(due))
-		wg.Go(func() { r.one(i, due) })
+		wg.Go(func() { r.send(i, due) })
 	}
 	wg.Wait()
 	close(stop)
-	r.rep.Requests, r.rep.Seconds = total, time.Since(begin).Seconds()
-	r.rep.FirstByte, r.rep.Whole = quantiles(r.first), quantiles(r.whole)
+	r.report.Requests, r.report.Seconds = total, time.Since(begin).Seconds()
+	r.report.FirstByte, r.report.LastByte = quantiles(r.firstByte), quantiles(r.lastByte)
 }
 
 func (r *runner) progress(errs io.Writer, stop <-chan struct{}) {
@@ -131,7 +132,7 @@
 			return
 		case <-t.C:
 			r.mu.Lock()
-			fmt.Fprintf(errs, "ended=%d p50=%.1fms p99=%.1fms outcomes=%v\n", r.whole.TotalCount(), float64(r.whole.ValueAtQuantile(50))/1e3, float64(r.whole.ValueAtQuantile(99))/1e3, r.rep.Outcomes)
+			fmt.Fprintf(errs, "ended=%d p50=%.1fms p99=%.1fms outcomes=%v\n", r.lastByte.TotalCount(), float64(r.lastByte.ValueAtQuantile(50))/1e3, float64(r.lastByte.ValueAtQuantile(99))/1e3, r.report.Outcomes)
 			r.mu.Unlock()
 		}
 	}
@@ -139,27 +140,27 @@
 
 func (r *runner) body(i int) string {
 	if r.o.Model == "" {
-		return fmt.Sprintf(`{"request":%d}`, r.id+int64(i))
+		return fmt.Sprintf(`{"request":%d}`, r.firstID+int64(i))
 	}
-	return fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"load %d"}]}`, r.o.Model, r.o.Tokens, r.id+int64(i))
+	return fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"load %d"}]}`, r.o.Model, r.o.Tokens, r.firstID+int64(i))
 }
 
-// one sends one request that was due at a given time.
-func (r *runner) one(i int, due time.Time) {
+// send sends request i, scheduled for due, and records its outcome and latencies.
+func (r *runner) send(i int, due time.Time) {
 	url := strings.TrimSuffix(r.o.Targets[i%len(r.o.Targets)], "/") + r.o.Path
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, url, bytes.NewReader([]byte(r.body(i))))
 	if err != nil {
-		r.end(due, time.Time{}, "lost: "+err.Error())
+		r.record(due, time.Time{}, "lost: "+err.Error())
 		return
 	}
 	req.Header.Set("Authorization", "Bearer "+r.key)
 	req.Header.Set("Content-Type", "application/json")
 	if r.o.Keyed {
-		req.Header.Set("Idempotency-Key", fmt.Sprint(r.id, "-", i))
+		req.Header.Set("Idempotency-Key", fmt.Sprint(r.firstID, "-", i))
 	}
 	res, err := r.client.Do(req)
 	if err != nil {
-		r.end(due, time.Time{}, "lost: no answer")
+		r.record(due, time.Time{}, "lost: no answer")
 		return
 	}
 	defer res.Body.Close()
@@ -180,17 +181,17 @@
 	if n == 0 {
 		at = time.Now()
 	}
-	r.end(due, at, fmt.Sprintf("%s %d", outcome, res.StatusCode))
+	r.record(due, at, fmt.Sprintf("%s %d", outcome, res.StatusCode))
 }
 
-func (r *runner) end(due, first time.Time, outcome string) {
+func (r *runner) record(due, first time.Time, outcome string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rep.Outcomes[outcome]++
+	r.report.Outcomes[outcome]++
 	if !first.IsZero() {
-		_ = r.first.RecordValue(max(1, first.Sub(due).Microseconds()))
+		_ = r.firstByte.RecordValue(max(1, first.Sub(due).Microseconds()))
 	}
-	_ = r.whole.RecordValue(max(1, time.Since(due).Microseconds()))
+	_ = r.lastByte.RecordValue(max(1, time.Since(due).Microseconds()))
 }
 
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
@@ -207,7 +208,7 @@
 	for _, q := range []struct {
 		name string
 		q    Quantiles
-	}{{"first byte", rep.FirstByte}, {"whole answer", rep.Whole}} {
+	}{{"first byte", rep.FirstByte}, {"whole answer", rep.LastByte}} {
 		fmt.Fprintf(w, "%s, ms\tp50 %.2f\tp95 %.2f\tp99 %.2f\tp99.9 %.2f\tmax %.2f\n", q.name, q.q.P50, q.q.P95, q.q.P99, q.q.P999, q.q.Max)
 	}
 	return w.Flush()
