--- a/internal/adapter/rpc/auth.go
+++ b/internal/adapter/rpc/auth.go
@@ -16,17 +16,17 @@
 	nonceBytes       = 32
 )
 
-// ErrAuth tells that the other side does not hold the shared key.
+// ErrAuth means that the peer does not hold the shared key.
 var ErrAuth = errors.New("the other side does not hold the shared key")
 
-// hello opens a connection from either side.
+// hello is the handshake message of either side.
 type hello struct {
 	Nonce []byte `json:"nonce"`
 	Proof []byte `json:"proof,omitempty"`
 }
 
-// proof binds the key to both nonces and to the side, so that a proof can be
-// neither replayed nor reflected.
+// proof returns a MAC of the side and both nonces under the shared key, so that a
+// proof can be neither replayed nor reflected.
 func proof(key []byte, side string, client, server []byte) []byte {
 	m := hmac.New(sha256.New, key)
 	m.Write([]byte(side))
@@ -37,13 +37,14 @@
 
 func newNonce() []byte {
 	b := make([]byte, nonceBytes)
-	rand.Read(b) // never fails on this platform; it stops the process instead
+	rand.Read(b) // never returns an error; on failure it ends the process
 	return b
 }
 
-// authenticateClient proves the key to a server and checks the server's proof.
-func authenticateClient(s *stream, key []byte, within time.Duration) error {
-	return withDeadline(s.conn, within, func() error {
+// authenticateClient checks the server's proof of the shared key and sends the
+// client's own.
+func authenticateClient(s *stream, key []byte, timeout time.Duration) error {
+	return withDeadline(s.conn, timeout, func() error {
 		mine := newNonce()
 		if err := writeHello(s, hello{Nonce: mine}); err != nil {
 			return err
@@ -59,7 +60,7 @@
 	})
 }
 
-// authenticateServer is the other side of authenticateClient.
+// authenticateServer is the server's side of the handshake.
 func authenticateServer(s *stream, key []byte) error {
 	return withDeadline(s.conn, handshakeTimeout, func() error {
 		first, err := readHello(s)
@@ -81,8 +82,8 @@
 	})
 }
 
-func withDeadline(c net.Conn, within time.Duration, f func() error) error {
-	if err := c.SetReadDeadline(time.Now().Add(within)); err != nil {
+func withDeadline(c net.Conn, timeout time.Duration, f func() error) error {
+	if err := c.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return err
 	}
 	if err := f(); err != nil {
--- a/internal/adapter/rpc/rpc.go
+++ b/internal/adapter/rpc/rpc.go
@@ -16,16 +16,16 @@
 	"github.com/cassiapass/cassiapass/internal/adapter/sockets"
 )
 
-// Security tells how connections are protected. Key may be empty only when the
-// operator asked for an insecure deployment or when TLS verifies clients.
+// Security configures how connections are protected. Key may be empty only if the
+// operator chose an insecure deployment or if TLS verifies clients.
 type Security struct {
 	Key    []byte
 	Server *tls.Config // nil for plain TCP
 	Client *tls.Config
 }
 
-// Handler handles what the other side sends. The result of a notification is
-// ignored.
+// Handler handles calls and notifications of the peer. The result of a
+// notification is ignored.
 type Handler func(ctx context.Context, c *Conn, method string, params json.RawMessage) (any, error)
 
 // Conn is one connection to another process of the system.
@@ -36,27 +36,28 @@
 	ready  chan struct{} // closed when rpc is set
 }
 
-// JSON-RPC error codes of calls that the other side refused.
+// JSON-RPC error codes of calls that the peer refused.
 const (
 	codeFailed    = -32000
 	codeNotLeader = -32001
 )
 
-// ErrNotLeader is returned by handlers, and by Call on the other side, for a
-// call that only the leader of a control group carries out. It had no effect.
+// ErrNotLeader is returned by handlers, and by Call at the peer, for a call that
+// only the leader of a control group carries out. The call had no effect.
 var ErrNotLeader = errors.New("the control host does not lead")
 
-// codeOf returns the code under which an error travels.
-func codeOf(err error) int64 {
+// errorCode returns the JSON-RPC error code that is sent for err.
+func errorCode(err error) int64 {
 	if errors.Is(err, ErrNotLeader) {
 		return codeNotLeader
 	}
 	return codeFailed
 }
 
-// Handle implements jsonrpc2.Handler. Only calls come here.
+// Handle implements jsonrpc2.Handler. It receives calls only; notifications are
+// handled by the stream.
 func (c *Conn) Handle(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) {
-	// The library reads the first message before its constructor returns.
+	// The library may read the first message before its constructor returns.
 	<-c.ready
 	var params json.RawMessage
 	if req.Params != nil {
@@ -65,7 +66,7 @@
 	go func() {
 		res, err := c.handle(ctx, c, req.Method, params)
 		if err != nil {
-			_ = c.rpc.ReplyWithError(ctx, req.ID, &jsonrpc2.Error{Code: codeOf(err), Message: err.Error()})
+			_ = c.rpc.ReplyWithError(ctx, req.ID, &jsonrpc2.Error{Code: errorCode(err), Message: err.Error()})
 			return
 		}
 		_ = c.rpc.Reply(ctx, req.ID, res)
@@ -87,9 +88,9 @@
 	return c.stream.writeNotification(method, params)
 }
 
-// noted handles a notification, before anything that arrived after it: parts of
-// an answer and changes of the state build on each other.
-func (c *Conn) noted(method string, params json.RawMessage) {
+// handleNotification handles a notification before any later message is read: parts of
+// an answer and changes of the state depend on the ones before them.
+func (c *Conn) handleNotification(method string, params json.RawMessage) {
 	<-c.ready
 	_, _ = c.handle(context.Background(), c, method, params)
 }
@@ -97,26 +98,26 @@
 // Close closes the connection.
 func (c *Conn) Close() { _ = c.rpc.Close() }
 
-// Closed is closed when the connection is.
+// Closed returns a channel that is closed when the connection is.
 func (c *Conn) Closed() <-chan struct{} { return c.rpc.DisconnectNotify() }
 
-// Heard returns when the last message arrived. It is kept as a distance on the
-// steady clock: after a step of the time of day a connection would otherwise look
-// silent, or a silent one would not be probed until the clock has caught up.
+// Heard returns when the last message arrived, measured on the monotonic clock.
+// By the wall clock, a clock step would make a connection look silent, or would
+// keep a silent one from being probed until the clock has caught up.
 func (c *Conn) Heard() time.Time {
-	return c.stream.begun.Add(time.Duration(c.stream.heard.Load()))
+	return c.stream.openedAt.Add(time.Duration(c.stream.lastReceived.Load()))
 }
 
-// Sending reports whether part of a message too large for one write left after since.
-// What is sent behind it, a probe too, waits for the message.
+// Sending reports whether a chunk of a message too large for one write was written
+// after since. Messages sent after that one, probes included, wait for it.
 func (c *Conn) Sending(since time.Time) bool {
-	return c.stream.begun.Add(time.Duration(c.stream.piece.Load())).After(since)
+	return c.stream.openedAt.Add(time.Duration(c.stream.lastChunk.Load())).After(since)
 }
 
-// Remote returns the other side's address.
+// Remote returns the peer's address.
 func (c *Conn) Remote() string { return c.stream.conn.RemoteAddr().String() }
 
-// Refused reports whether err is the other side's own word rather than a broken
+// Refused reports whether err is an error response of the peer rather than a failed
 // connection.
 func Refused(err error) bool {
 	var e *jsonrpc2.Error
@@ -125,38 +126,39 @@
 
 func start(ctx context.Context, s *stream, h Handler) *Conn {
 	c := &Conn{stream: s, handle: h, ready: make(chan struct{})}
-	s.notes = c.noted
-	c.rpc = jsonrpc2.NewConn(ctx, s, c, jsonrpc2.SetLogger(silent{}))
+	s.onNotification = c.handleNotification
+	c.rpc = jsonrpc2.NewConn(ctx, s, c, jsonrpc2.SetLogger(discardLogger{}))
 	close(c.ready)
 	return c
 }
 
-// silent drops the library's own log lines; the roles log what matters.
-type silent struct{}
+// discardLogger drops the library's log lines; the callers of this package log the
+// events that matter.
+type discardLogger struct{}
 
 // Printf implements jsonrpc2.Logger.
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 const dialTimeout = 2 * time.Second
 
-// Dial connects to addr, an IP number and port.
+// Dial connects to addr, an IP address and port.
 func Dial(ctx context.Context, addr string, sec Security, count *Counter, h Handler) (*Conn, error) {
 	dialer := sockets.Dialer(dialTimeout)
 	nc, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, oops.With("addr", addr).Wrapf(err, "connect")
 	}
-	narrow(nc)
+	limitSendBuffer(nc)
 	if sec.Client != nil {
 		nc = tls.Client(nc, sec.Client)
 	}
 	s := newStream(nc, count)
 	if len(sec.Key) > 0 {
-		within := handshakeTimeout
-		if by, ok := ctx.Deadline(); ok {
-			within = min(within, time.Until(by))
+		timeout := handshakeTimeout
+		if deadline, ok := ctx.Deadline(); ok {
+			timeout = min(timeout, time.Until(deadline))
 		}
-		if err := authenticateClient(s, sec.Key, within); err != nil {
+		if err := authenticateClient(s, sec.Key, timeout); err != nil {
 			nc.Close()
 			return nil, oops.With("addr", addr).Wrapf(err, "authenticate")
 		}
@@ -166,26 +168,26 @@
 
 // Server accepts connections from other processes.
 type Server struct {
-	listener net.Listener
-	sec      Security
-	count    *Counter
-	handle   Handler
-	gone     func(*Conn)
-	failed   func(remote string, err error)
+	listener      net.Listener
+	sec           Security
+	count         *Counter
+	handle        Handler
+	onClose       func(*Conn)
+	onAuthFailure func(remote string, err error)
 
 	mu    sync.Mutex
 	conns map[*Conn]struct{}
 }
 
-// Listen starts a Server on addr. gone is called after a connection has closed,
-// failed for one that did not authenticate; both may be nil.
-func Listen(addr string, sec Security, count *Counter, h Handler, gone func(*Conn), failed func(string, error)) (*Server, error) {
+// Listen starts a Server on addr. onClose is called after a connection has closed,
+// onAuthFailure for one that failed to authenticate; both may be nil.
+func Listen(addr string, sec Security, count *Counter, h Handler, onClose func(*Conn), onAuthFailure func(string, error)) (*Server, error) {
 	lc := sockets.ListenConfig()
 	l, err := lc.Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, oops.With("addr", addr).Wrapf(err, "listen")
 	}
-	s := &Server{listener: l, sec: sec, count: count, handle: h, gone: gone, failed: failed, conns: map[*Conn]struct{}{}}
+	s := &Server{listener: l, sec: sec, count: count, handle: h, onClose: onClose, onAuthFailure: onAuthFailure, conns: map[*Conn]struct{}{}}
 	go s.accept()
 	return s, nil
 }
@@ -210,7 +212,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(10 * time.Millisecond) // out of descriptors; others will close
+			time.Sleep(10 * time.Millisecond) // out of file descriptors; retry once other connections have closed
 			continue
 		}
 		go s.serve(nc)
@@ -218,7 +220,7 @@
 }
 
 func (s *Server) serve(nc net.Conn) {
-	narrow(nc)
+	limitSendBuffer(nc)
 	if s.sec.Server != nil {
 		nc = tls.Server(nc, s.sec.Server)
 	}
@@ -226,8 +228,8 @@
 	if len(s.sec.Key) > 0 {
 		if err := authenticateServer(st, s.sec.Key); err != nil {
 			nc.Close()
-			if s.failed != nil && !errors.Is(err, io.EOF) {
-				s.failed(nc.RemoteAddr().String(), err)
+			if s.onAuthFailure != nil && !errors.Is(err, io.EOF) {
+				s.onAuthFailure(nc.RemoteAddr().String(), err)
 			}
 			return
 		}
@@ -241,7 +243,7 @@
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
-	if s.gone != nil {
-		s.gone(c)
+	if s.onClose != nil {
+		s.onClose(c)
 	}
 }
--- a/internal/adapter/rpc/rpc_test.go
+++ b/internal/adapter/rpc/rpc_test.go
@@ -12,9 +12,10 @@
 	"github.com/matryer/is"
 )
 
-const patience = 30 * time.Second
+const waitLimit = 30 * time.Second
 
-// echo answers calls with their parameters and remembers notifications.
+// echo returns a handler that answers calls with their parameters and sends the
+// parameters of notifications to notes.
 func echo(notes chan string) Handler {
 	return func(_ context.Context, _ *Conn, method string, params json.RawMessage) (any, error) {
 		if method == "note" {
@@ -32,7 +33,7 @@
 	srv, err := Listen("127.0.0.1:0", sec, &Counter{}, echo(notes), nil, nil)
 	is.NoErr(err)
 	defer srv.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	c, err := Dial(ctx, srv.Addr(), sec, &Counter{}, echo(notes))
 	is.NoErr(err)
@@ -43,15 +44,15 @@
 	var got string
 	is.NoErr(c.Call(ctx, "echo", "x", &got))
 	is.Equal(got, "x")
-	for i := range 500 { // all of them before the call was answered, in order
+	for i := range 500 { // all were handled before the call was answered, in order
 		want, _ := json.Marshal(i)
 		is.Equal(<-notes, string(want))
 	}
 }
 
-// Symptom: a stranger's connection takes memory or stops the process.
-// Sequence: it announces an endless message, or sends what is no message.
-// Cause: lengths and contents come from the other side.
+// An unauthenticated peer that announces an oversized message, or sends a malformed
+// one, must not make the server allocate memory or end the process: lengths and
+// contents are untrusted.
 func TestMalformedFramesOnlyCloseTheirConnection(t *testing.T) {
 	is := is.New(t)
 	srv, err := Listen("127.0.0.1:0", Security{}, &Counter{}, echo(make(chan string, 9)), nil, nil)
@@ -60,28 +61,30 @@
 	for _, frame := range []struct {
 		length uint32
 		body   string
-	}{{MaxFrame + 1, "x"}, {3, "{{{"}, {notifyMark | 4, "none"}, {notifyMark | 0x7fffffff, "x"}, {2, "[]"}} {
+	}{{MaxFrame + 1, "x"}, {3, "{{{"}, {notificationFlag | 4, "none"}, {notificationFlag | 0x7fffffff, "x"}, {2, "[]"}} {
 		nc, err := net.Dial("tcp", srv.Addr())
 		is.NoErr(err)
 		_, err = nc.Write(append(binary.BigEndian.AppendUint32(nil, frame.length), frame.body...))
 		is.NoErr(err)
-		is.NoErr(nc.SetReadDeadline(time.Now().Add(patience)))
+		is.NoErr(nc.SetReadDeadline(time.Now().Add(waitLimit)))
 		_, err = nc.Read(make([]byte, 1))
-		is.True(err != nil) // closed, nothing answered
+		is.True(err != nil) // closed without an answer
 		nc.Close()
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	c, err := Dial(ctx, srv.Addr(), Security{}, &Counter{}, nil)
 	is.NoErr(err)
 	defer c.Close()
 	var got int
-	is.NoErr(c.Call(ctx, "echo", 7, &got)) // the server goes on
+	is.NoErr(c.Call(ctx, "echo", 7, &got)) // the server still serves other connections
 	is.Equal(got, 7)
 }
 
-// slowly reads from one connection as fast as a slow link would pass it on, until stop.
-func slowly(t *testing.T, stop <-chan struct{}, each int, pause time.Duration) (addr string, read <-chan int) {
+// slowReader accepts one connection and reads at most each bytes per pause until stop
+// is closed, like the far end of a slow link. It returns its address and a channel that
+// receives the number of bytes read.
+func slowReader(t *testing.T, stop <-chan struct{}, each int, pause time.Duration) (addr string, read <-chan int) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -111,32 +114,31 @@
 	return l.Addr().String(), total
 }
 
-// Symptom: a host that joins over a slow link never gets its snapshot; its connection is
-// closed every 2 s and all is sent anew.
-// Sequence: a message takes longer than the write timeout though its reader reads.
-// Cause: the timeout bounded the whole message, not the silence of the reader.
+// A message may take longer than the write timeout as long as its reader keeps reading.
+// If the timeout bounds the whole message, a host that joins over a slow link never
+// receives its snapshot: the connection is closed every 2 s and the transfer starts over.
 func TestLargeMessageMayTakeLongerThanTheWriteTimeout(t *testing.T) {
 	is := is.New(t)
 	stop := make(chan struct{})
-	addr, read := slowly(t, stop, 256<<10, 20*time.Millisecond)
+	addr, read := slowReader(t, stop, 256<<10, 20*time.Millisecond)
 	c, err := Dial(context.Background(), addr, Security{}, &Counter{}, echo(nil))
 	is.NoErr(err)
 	defer c.Close()
 	const size = 12 << 20 // some 4 s at 64 kB in 20 ms
 	begun := time.Now()
 	is.NoErr(c.Notify("note", strings.Repeat("x", size)))
-	is.True(time.Since(begun) > writeTimeout) // else this shows nothing
+	is.True(time.Since(begun) > writeTimeout) // otherwise the test proves nothing
 	is.True(c.Sending(begun))
 	close(stop)
 	is.True(<-read > size/2)
 }
 
-// A reader that reads nothing is still found out, within the write timeout.
+// A reader that reads nothing still ends the connection within the write timeout.
 func TestReaderThatStandsStillEndsALargeMessage(t *testing.T) {
 	is := is.New(t)
 	stop := make(chan struct{})
 	defer close(stop)
-	addr, _ := slowly(t, stop, 1, time.Hour)
+	addr, _ := slowReader(t, stop, 1, time.Hour)
 	c, err := Dial(context.Background(), addr, Security{}, &Counter{}, echo(nil))
 	is.NoErr(err)
 	defer c.Close()
