--- a/internal/adapter/disklog/contacts.go
+++ b/internal/adapter/disklog/contacts.go
@@ -8,8 +8,8 @@
 	"github.com/samber/oops"
 )
 
-// contactsName is a file beside the log. It may be lost: it only names addresses at
-// which other hosts were found.
+// contactsName is a file beside the log with addresses at which other hosts were
+// reached. Its loss does no harm.
 const contactsName = "contacts.json"
 
 // Contacts returns the addresses of other hosts that SaveContacts wrote to a data
--- a/internal/adapter/disklog/disklog.go
+++ b/internal/adapter/disklog/disklog.go
@@ -25,14 +25,15 @@
 	fileMode     = 0o640
 )
 
-// ErrFailed tells that an earlier write failed and the folder is closed.
+// ErrFailed means that an earlier write or sync failed and the log accepts no more
+// writes.
 var ErrFailed = errors.New("an earlier write or sync failed; restart the process after mending the disk")
 
-// ErrDamaged tells that the folder lacks or garbles something that may have been
-// acknowledged. It must not be used again under its identity.
+// ErrDamaged means that data which may have been acknowledged is missing or corrupt.
+// The folder must not be used again under its identity.
 var ErrDamaged = errors.New("the data folder is damaged")
 
-// file is what the log needs of a segment file; tests hand in one that fails.
+// file is the part of os.File that the log uses; tests substitute one that fails.
 type file interface {
 	Write(p []byte) (int, error)
 	Sync() error
@@ -41,36 +42,36 @@
 
 // Log is an open data folder. It implements port.Disk.
 type Log struct {
-	dir     string
-	lock    *flock.Flock
-	create  func(path string) (file, error)
-	current file
-	size    int64
-	last    uint64            // last index written
-	starts  map[string]uint64 // segment path to the last index it may hold
-	name    string            // current segment path
-	hard    consensus.HardState
-	failed  bool
-	seq     uint64
-	buf     []byte
+	dir         string
+	lock        *flock.Flock
+	create      func(path string) (file, error)
+	current     file
+	size        int64
+	last        uint64            // last index written
+	maxIndex    map[string]uint64 // last index that a segment may hold, by segment path
+	segmentPath string            // current segment path
+	hardState   consensus.HardState
+	failed      bool
+	seq         uint64
+	buf         []byte
 }
 
-// Restored is what Open found.
+// Restored is the state that Open read from the folder.
 type Restored struct {
 	Identity  Identity
 	HardState consensus.HardState
 	Snapshot  consensus.Snapshot
 	Entries   []consensus.Entry
-	TornBytes int // bytes cut off the end of the last segment
+	TornBytes int // bytes truncated from the end of the last segment
 }
 
 // Open locks and reads the data folder, creating it if it does not exist.
-// newIdentity is called when the folder has none.
+// newIdentity is called if the folder has no identity yet.
 func Open(dir string, newIdentity func() Identity) (*Log, *Restored, error) {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return nil, nil, oops.Wrapf(err, "create data folder")
 	}
-	l := &Log{dir: dir, lock: flock.New(filepath.Join(dir, lockName)), create: createFile, starts: map[string]uint64{}}
+	l := &Log{dir: dir, lock: flock.New(filepath.Join(dir, lockName)), create: createFile, maxIndex: map[string]uint64{}}
 	locked, err := l.lock.TryLock()
 	if err != nil {
 		return nil, nil, oops.Wrapf(err, "lock data folder %s", dir)
@@ -83,10 +84,10 @@
 		_ = l.lock.Unlock()
 		return nil, nil, err
 	}
-	l.hard = res.HardState
+	l.hardState = res.HardState
 	l.last = res.Snapshot.Index + uint64(len(res.Entries))
-	// A new segment at each start: nothing is ever written behind a place
-	// that a crash may have torn.
+	// Each start begins a new segment, so that nothing is ever appended after a
+	// frame that a crash may have torn.
 	if err := l.rotate(); err != nil {
 		_ = l.lock.Unlock()
 		return nil, nil, err
@@ -109,8 +110,8 @@
 		l.last = e.Index
 	}
 	if hs != nil {
-		l.hard = *hs
-		l.buf = appendFrame(l.buf, frameHard, encodeHard(*hs))
+		l.hardState = *hs
+		l.buf = appendFrame(l.buf, frameHardState, encodeHardState(*hs))
 	}
 	if len(l.buf) == 0 {
 		return nil
@@ -118,29 +119,30 @@
 	if err := l.write(l.buf); err != nil {
 		return err
 	}
-	l.starts[l.name] = max(l.starts[l.name], l.last)
+	l.maxIndex[l.segmentPath] = max(l.maxIndex[l.segmentPath], l.last)
 	if l.size >= segmentBytes {
 		return l.rotate()
 	}
 	return nil
 }
 
-// write appends and syncs. Any failure closes the log for good.
+// write appends b to the segment and syncs it. After any failure the log accepts no
+// more writes.
 func (l *Log) write(b []byte) error {
 	if _, err := l.current.Write(b); err != nil {
 		l.failed = true
-		return oops.With("file", l.name).Wrapf(err, "write log")
+		return oops.With("file", l.segmentPath).Wrapf(err, "write log")
 	}
 	if err := l.current.Sync(); err != nil {
 		l.failed = true
-		return oops.With("file", l.name).Wrapf(err, "sync log")
+		return oops.With("file", l.segmentPath).Wrapf(err, "sync log")
 	}
 	l.size += int64(len(b))
 	return nil
 }
 
-// rotate starts a new segment, whose first frame repeats the hard state so that
-// older segments can be dropped.
+// rotate starts a new segment. Its first frame repeats the hard state, so that older
+// segments can be removed.
 func (l *Log) rotate() error {
 	if l.current != nil {
 		if err := l.current.Close(); err != nil {
@@ -149,22 +151,22 @@
 		}
 	}
 	l.seq++
-	l.name = filepath.Join(l.dir, fmt.Sprintf("%016x%s", l.seq, segmentExt))
-	f, err := l.create(l.name)
+	l.segmentPath = filepath.Join(l.dir, fmt.Sprintf("%016x%s", l.seq, segmentExt))
+	f, err := l.create(l.segmentPath)
 	if err != nil {
 		l.failed = true
 		return oops.Wrapf(err, "create segment")
 	}
 	l.current, l.size = f, 0
-	l.starts[l.name] = l.last
-	if err := l.write(appendFrame(nil, frameHard, encodeHard(l.hard))); err != nil {
+	l.maxIndex[l.segmentPath] = l.last
+	if err := l.write(appendFrame(nil, frameHardState, encodeHardState(l.hardState))); err != nil {
 		return err
 	}
 	return syncDir(l.dir)
 }
 
-// SaveSnapshot implements port.Disk. The snapshot is written aside, synced and
-// renamed, and only then are the segments it replaces removed.
+// SaveSnapshot implements port.Disk. The snapshot is written to a temporary file,
+// synced and renamed before the segments that it replaces are removed.
 func (l *Log) SaveSnapshot(s consensus.Snapshot) error {
 	if l.failed {
 		return ErrFailed
@@ -177,22 +179,22 @@
 	if err := l.rotate(); err != nil {
 		return err
 	}
-	return l.dropOld(s.Index)
+	return l.removeObsolete(s.Index)
 }
 
-func (l *Log) dropOld(index uint64) error {
+func (l *Log) removeObsolete(index uint64) error {
 	names, err := l.list(segmentExt)
 	if err != nil {
 		return err
 	}
 	for _, name := range names {
-		if name == l.name || l.starts[name] > index {
-			break // later segments may depend on what this one truncates
+		if name == l.segmentPath || l.maxIndex[name] > index {
+			break // later segments may depend on the truncation of the log by this one
 		}
 		if err := os.Remove(name); err != nil {
 			return oops.Wrapf(err, "remove old segment")
 		}
-		delete(l.starts, name)
+		delete(l.maxIndex, name)
 	}
 	snaps, err := l.list(snapshotExt)
 	if err != nil {
@@ -208,7 +210,8 @@
 
 const keepSnapshots = 1
 
-// Close syncs nothing: everything acknowledged is synced already.
+// Close closes the segment and releases the lock. It need not sync: everything
+// acknowledged has been synced.
 func (l *Log) Close() error {
 	err := l.current.Close()
 	return errors.Join(err, l.lock.Unlock())
@@ -216,12 +219,12 @@
 
 // list returns the paths with the given extension, oldest first.
 func (l *Log) list(ext string) ([]string, error) {
-	des, err := os.ReadDir(l.dir)
+	dirEntries, err := os.ReadDir(l.dir)
 	if err != nil {
 		return nil, oops.Wrapf(err, "list data folder")
 	}
 	var out []string
-	for _, de := range des {
+	for _, de := range dirEntries {
 		if strings.HasSuffix(de.Name(), ext) {
 			out = append(out, filepath.Join(l.dir, de.Name()))
 		}
@@ -230,8 +233,8 @@
 	return out, nil
 }
 
-// number returns the number in a segment's or snapshot's name.
-func number(path string) (uint64, error) {
+// fileNumber returns the number in the file name of a segment or snapshot.
+func fileNumber(path string) (uint64, error) {
 	base := filepath.Base(path)
 	stem, _, _ := strings.Cut(base, ".")
 	n, err := strconv.ParseUint(stem, 16, 64)
--- a/internal/adapter/disklog/disklog_test.go
+++ b/internal/adapter/disklog/disklog_test.go
@@ -89,10 +89,9 @@
 	is.True(strings.Contains(err.Error(), "in use"))
 }
 
-// Symptom: a host does not start after a crash, or starts with a half entry.
-// Sequence: a crash in the middle of a write leaves part of a frame.
-// Cause: what was not synced may be on the disk in part.
-func TestTornEndIsCut(t *testing.T) {
+// A crash in the middle of a write can leave part of a frame on the disk. Recovery
+// must truncate it rather than fail or return a partial entry.
+func TestTornEndIsTruncated(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	path, whole := threeEntries(t, dir)
@@ -101,13 +100,13 @@
 		l, res := open(t, dir)
 		is.Equal(len(res.Entries), 2)
 		is.NoErr(l.Close())
-		for _, s := range newer(t, l, path) {
+		for _, s := range segmentsAfter(t, l, path) {
 			is.NoErr(os.Remove(s))
 		}
 	}
 }
 
-func newer(t *testing.T, l *Log, than string) []string {
+func segmentsAfter(t *testing.T, l *Log, than string) []string {
 	t.Helper()
 	segs, err := l.list(segmentExt)
 	if err != nil {
@@ -122,9 +121,8 @@
 	return out
 }
 
-// Symptom: an acknowledged change is gone after a restart, silently.
-// Sequence: a sector in the middle of the log goes bad.
-// Cause: cutting at the first bad frame would drop what follows it.
+// A bad sector in the middle of the log must be reported. Truncation at the first
+// bad frame would silently drop the acknowledged entries after it.
 func TestDamageBeforeTheEndIsRefused(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
@@ -138,7 +136,7 @@
 	}
 	is.True(errors.Is(err, ErrDamaged))
 
-	is.NoErr(Discard(dir)) // a host that may join again does so as a new one
+	is.NoErr(Discard(dir)) // the host may join again, as a new member
 	l, res, err := Open(dir, func() Identity { return Identity{Node: 8, Group: "main"} })
 	is.NoErr(err)
 	defer l.Close()
@@ -146,23 +144,23 @@
 	is.Equal(len(res.Entries), 0)
 }
 
-// brokenFile fails at its nth sync.
+// brokenFile fails its syncs once syncsLeft of them have succeeded.
 type brokenFile struct {
 	file
-	left *int
+	syncsLeft *int
 }
 
 func (b brokenFile) Sync() error {
-	if *b.left--; *b.left < 0 {
+	if *b.syncsLeft--; *b.syncsLeft < 0 {
 		return errors.New("input/output error")
 	}
 	return b.file.Sync()
 }
 
-// Symptom: a change is acknowledged, and gone after the next restart.
-// Sequence: a sync fails; the next one succeeds although the data was dropped.
-// Cause: the kernel marks pages clean after a failed sync.
-func TestFailedSyncClosesTheLogForGood(t *testing.T) {
+// After a failed sync the log must accept no more writes. The kernel marks the pages
+// clean, so the next sync succeeds although the data was dropped, and an acknowledged
+// change would be missing after the next restart.
+func TestFailedSyncClosesLogPermanently(t *testing.T) {
 	is := is.New(t)
 	l, _ := open(t, t.TempDir())
 	defer l.Close()
@@ -198,7 +196,7 @@
 	}
 }
 
-// BenchmarkRawSync is the yardstick for the log: one synced write of a batch's
+// BenchmarkRawSync is the baseline for BenchmarkSave: one synced write of a batch's
 // size to the same disk.
 func BenchmarkRawSync(b *testing.B) {
 	f, err := os.Create(filepath.Join(b.TempDir(), "raw"))
--- a/internal/adapter/disklog/doc.go
+++ b/internal/adapter/disklog/doc.go
@@ -4,9 +4,9 @@
 // snapshots. A segment is a sequence of frames, each with a mark, a length and
 // a checksum. Save appends all frames of one batch and syncs once. A crash can
 // leave a torn frame at the end of the last segment: it was never acknowledged
-// and is cut off. Damage anywhere else means that acknowledged data is lost;
-// Open then refuses with file, offset and remedy instead of going on without.
+// and is truncated. Damage anywhere else means that acknowledged data is lost;
+// Open then fails with an error that names file, offset and remedy.
 //
-// After a failed write or sync the folder is not used again: the kernel may
-// have dropped the data, and a later successful sync would prove nothing.
+// After a failed write or sync the log accepts no more writes: the kernel may have
+// dropped the data, and a later successful sync would not prove otherwise.
 package disklog
--- a/internal/adapter/disklog/frame.go
+++ b/internal/adapter/disklog/frame.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	frameMark   = 0x43504c31
+	frameMagic  = 0x43504c31
 	frameHeader = 13 // mark, length, checksum, kind
 	maxFrame    = 64 << 20
 )
 
-// frameKind tells what a frame holds.
+// frameKind is the type of a frame's payload.
 type frameKind byte
 
 const (
 	frameEntry frameKind = iota + 1
-	frameHard
+	frameHardState
 )
 
 var (
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
-	markBytes  = binary.BigEndian.AppendUint32(nil, frameMark)
+	magicBytes = binary.BigEndian.AppendUint32(nil, frameMagic)
 )
 
 // appendFrame appends one frame to buf.
 func appendFrame(buf []byte, k frameKind, payload []byte) []byte {
-	buf = append(buf, markBytes...)
+	buf = append(buf, magicBytes...)
 	buf = binary.BigEndian.AppendUint32(buf, uint32(len(payload)))
 	buf = binary.BigEndian.AppendUint32(buf, checksum(k, payload))
 	buf = append(buf, byte(k))
@@ -42,10 +42,10 @@
 	return crc32.Update(crc32.Checksum([]byte{byte(k)}, castagnoli), castagnoli, payload)
 }
 
-// frameAt reads the frame at the start of b. It returns false if there is no
-// whole and undamaged one.
+// frameAt decodes the frame at the start of b. ok is false if there is no complete
+// frame with a valid checksum.
 func frameAt(b []byte) (k frameKind, payload []byte, size int, ok bool) {
-	if len(b) < frameHeader || !bytes.Equal(b[:4], markBytes) {
+	if len(b) < frameHeader || !bytes.Equal(b[:4], magicBytes) {
 		return 0, nil, 0, false
 	}
 	n := int(binary.BigEndian.Uint32(b[4:]))
@@ -60,11 +60,11 @@
 	return k, payload, frameHeader + n, true
 }
 
-// frameAfter reports whether a whole frame stands anywhere in b. Behind a
-// damaged place it tells lost data from a torn end.
-func frameAfter(b []byte) bool {
+// containsFrame reports whether b contains a valid frame at any offset. After a damaged
+// frame this distinguishes lost data from a torn end.
+func containsFrame(b []byte) bool {
 	for {
-		i := bytes.Index(b, markBytes)
+		i := bytes.Index(b, magicBytes)
 		if i < 0 {
 			return false
 		}
@@ -75,7 +75,7 @@
 	}
 }
 
-// encodeEntry writes an entry: term, index, kind, data.
+// encodeEntry encodes an entry as term, index, kind and data.
 func encodeEntry(e consensus.Entry) []byte {
 	b := make([]byte, 0, 17+len(e.Data))
 	b = binary.BigEndian.AppendUint64(b, e.Term)
@@ -95,7 +95,7 @@
 	return e, nil
 }
 
-func encodeHard(hs consensus.HardState) []byte {
+func encodeHardState(hs consensus.HardState) []byte {
 	b, err := json.Marshal(hs)
 	if err != nil {
 		panic("invariant: disklog: hard state cannot be encoded: " + err.Error())
--- a/internal/adapter/disklog/recover.go
+++ b/internal/adapter/disklog/recover.go
@@ -13,9 +13,9 @@
 	"github.com/cassiapass/cassiapass/internal/core/ident"
 )
 
-// Identity is who a data folder belongs to. It is written once. A host that
-// lost its disk gets a new one and joins as a new member: under the old one it
-// would have forgotten its votes.
+// Identity names the member and group that a data folder belongs to. It is written
+// once. A host that lost its disk gets a new identity and joins as a new member:
+// under the old one it could vote twice in a term, because its votes are lost too.
 type Identity struct {
 	Node  consensus.NodeID `json:"node"`
 	Group ident.Group      `json:"group"`
@@ -23,11 +23,11 @@
 
 const identityName = "identity.json"
 
-func (l *Log) identity(fresh func() Identity) (Identity, error) {
+func (l *Log) identity(makeIdentity func() Identity) (Identity, error) {
 	path := filepath.Join(l.dir, identityName)
 	b, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
-		return l.newIdentity(path, fresh())
+		return l.newIdentity(path, makeIdentity())
 	}
 	if err != nil {
 		return Identity{}, oops.Wrapf(err, "read identity")
@@ -39,8 +39,8 @@
 	return id, nil
 }
 
-// newIdentity writes the identity of an empty folder. With a log but without an
-// identity the folder is not empty but damaged.
+// newIdentity writes the identity of an empty folder. A folder with log segments but
+// without an identity is damaged.
 func (l *Log) newIdentity(path string, id Identity) (Identity, error) {
 	segs, err := l.list(segmentExt)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return id, replace(path, b)
 }
 
-// replace writes a file by write, sync, rename and directory sync, so that a
+// replace replaces a file atomically, by write, sync, rename and directory sync: a
 // crash leaves either the old or the new content.
 func replace(path string, b []byte) error {
 	tmp := path + tempExt
@@ -85,10 +85,10 @@
 		return oops.Wrapf(err, "encode snapshot")
 	}
 	path := filepath.Join(l.dir, fmt.Sprintf("%016x%s", s.Index, snapshotExt))
-	return replace(path, appendSnapshot(b))
+	return replace(path, appendChecksum(b))
 }
 
-func appendSnapshot(b []byte) []byte {
+func appendChecksum(b []byte) []byte {
 	sum := checksum(0, b)
 	return append(b, byte(sum>>24), byte(sum>>16), byte(sum>>8), byte(sum))
 }
@@ -114,15 +114,15 @@
 	return s, nil
 }
 
-// Discard empties a data folder, so that the next Open makes a new identity.
-// Only a host that joins its group again as a new member may use it: what the
-// folder held counts towards no quorum afterwards.
+// Discard empties a data folder, so that the next Open creates a new identity.
+// Only a host that rejoins its group as a new member may call it: the entries that
+// the folder held no longer count towards a quorum.
 func Discard(dir string) error {
-	des, err := os.ReadDir(dir)
+	dirEntries, err := os.ReadDir(dir)
 	if err != nil {
 		return oops.Wrapf(err, "list data folder")
 	}
-	for _, de := range des {
+	for _, de := range dirEntries {
 		if err := os.Remove(filepath.Join(dir, de.Name())); err != nil {
 			return oops.Wrapf(err, "empty data folder")
 		}
@@ -130,9 +130,9 @@
 	return syncDir(dir)
 }
 
-// recover reads everything in the folder.
-func (l *Log) recover(fresh func() Identity) (*Restored, error) {
-	id, err := l.identity(fresh)
+// recover reads the identity, the newest snapshot and all segments of the folder.
+func (l *Log) recover(makeIdentity func() Identity) (*Restored, error) {
+	id, err := l.identity(makeIdentity)
 	if err != nil {
 		return nil, err
 	}
@@ -146,25 +146,25 @@
 	}
 	r := &reader{snap: res.Snapshot}
 	for i, path := range segs {
-		n, err := number(path)
+		n, err := fileNumber(path)
 		if err != nil {
 			return nil, err
 		}
 		l.seq = max(l.seq, n)
-		// Every start begins a new segment, so a torn end can stand in any
-		// segment that was the last one at a crash; what follows it in a
-		// later segment was written with that end already cut off.
-		torn, err := r.segment(path)
+		// Every start begins a new segment, so any segment that was the last
+		// one at a crash may have had a torn end. Later segments were written
+		// after that end had been truncated.
+		torn, err := r.readSegment(path)
 		if err != nil {
 			return nil, err
 		}
 		if i == len(segs)-1 {
 			res.TornBytes = torn
 		}
-		l.starts[path] = r.last()
+		l.maxIndex[path] = r.lastIndex()
 	}
-	res.HardState = r.hard
-	res.Entries = r.after(res.Snapshot)
+	res.HardState = r.hardState
+	res.Entries = r.entriesAfter(res.Snapshot)
 	return res, nil
 }
 
@@ -177,22 +177,23 @@
 	return err
 }
 
-// reader collects the frames of all segments.
+// reader accumulates the hard state and entries of all segments.
 type reader struct {
-	snap    consensus.Snapshot
-	hard    consensus.HardState
-	entries []consensus.Entry
+	snap      consensus.Snapshot
+	hardState consensus.HardState
+	entries   []consensus.Entry
 }
 
-func (r *reader) last() uint64 {
+func (r *reader) lastIndex() uint64 {
 	if len(r.entries) == 0 {
 		return r.snap.Index
 	}
 	return r.entries[len(r.entries)-1].Index
 }
 
-// segment reads one segment and cuts a torn end off.
-func (r *reader) segment(path string) (torn int, err error) {
+// readSegment reads one segment and truncates a torn end. It returns the number of
+// bytes truncated.
+func (r *reader) readSegment(path string) (torn int, err error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return 0, oops.Wrapf(err, "read segment")
@@ -201,9 +202,9 @@
 	for off < len(b) {
 		k, payload, size, ok := frameAt(b[off:])
 		if !ok {
-			return r.cut(path, b, off)
+			return r.truncateTornEnd(path, b, off)
 		}
-		if err := r.frame(k, payload); err != nil {
+		if err := r.applyFrame(k, payload); err != nil {
 			return 0, oops.With("file", path, "offset", off).Wrapf(errors.Join(ErrDamaged, err), "segment %s at offset %d", path, off)
 		}
 		off += size
@@ -211,8 +212,8 @@
 	return 0, nil
 }
 
-func (r *reader) cut(path string, b []byte, off int) (int, error) {
-	if frameAfter(b[off+1:]) {
+func (r *reader) truncateTornEnd(path string, b []byte, off int) (int, error) {
+	if containsFrame(b[off+1:]) {
 		return 0, oops.With("file", path, "offset", off).Wrapf(ErrDamaged,
 			"%s is damaged at offset %d, before data that was acknowledged: remove the whole data folder, remove this member from the group and let the host join as a new one", path, off)
 	}
@@ -222,33 +223,33 @@
 	return len(b) - off, nil
 }
 
-func (r *reader) frame(k frameKind, payload []byte) error {
+func (r *reader) applyFrame(k frameKind, payload []byte) error {
 	switch k {
-	case frameHard:
-		return json.Unmarshal(payload, &r.hard)
+	case frameHardState:
+		return json.Unmarshal(payload, &r.hardState)
 	case frameEntry:
 		e, err := decodeEntry(payload)
 		if err != nil {
 			return err
 		}
-		return r.entry(e)
+		return r.appendEntry(e)
 	}
 	return fmt.Errorf("frame of unknown kind %d; it was written by a newer release", k)
 }
 
-// entry appends an entry; an index that was seen replaces the tail, as a new
-// leader's entries do.
-func (r *reader) entry(e consensus.Entry) error {
+// appendEntry appends an entry. If its index is present already, the entry replaces all
+// from there on, because a new leader overwrites the tail of the log.
+func (r *reader) appendEntry(e consensus.Entry) error {
 	if len(r.entries) == 0 {
 		r.entries = append(r.entries, e)
 		return nil
 	}
 	first := r.entries[0].Index
 	switch {
-	case e.Index == r.snap.Index+1 && e.Index > r.last()+1:
-		r.entries = r.entries[:0] // follows an installed snapshot
-	case e.Index > r.last()+1:
-		return fmt.Errorf("index %d follows %d: entries in between are missing", e.Index, r.last())
+	case e.Index == r.snap.Index+1 && e.Index > r.lastIndex()+1:
+		r.entries = r.entries[:0] // first entry after an installed snapshot
+	case e.Index > r.lastIndex()+1:
+		return fmt.Errorf("index %d follows %d: entries in between are missing", e.Index, r.lastIndex())
 	case e.Index < first:
 		r.entries = r.entries[:0]
 	default:
@@ -258,10 +259,10 @@
 	return nil
 }
 
-// after returns the entries that follow the snapshot. They are kept only if the
-// log agrees with the snapshot where both have the entry: after a snapshot was
-// received from a leader, older entries on disk may be of a log that lost.
-func (r *reader) after(s consensus.Snapshot) []consensus.Entry {
+// entriesAfter returns the entries that follow the snapshot, or none if the log disagrees
+// with the snapshot: when a snapshot was received from a leader, older entries on disk
+// may belong to a log that was overwritten.
+func (r *reader) entriesAfter(s consensus.Snapshot) []consensus.Entry {
 	for i, e := range r.entries {
 		if e.Index == s.Index && e.Term != s.Term {
 			return nil
