--- a/internal/adapter/http1/client.go
+++ b/internal/adapter/http1/client.go
@@ -16,69 +16,70 @@
 	"github.com/cassiapass/cassiapass/internal/adapter/sockets"
 )
 
-// ErrUnsent tells that no byte of a request left: the endpoint cannot have run
-// it.
+// ErrUnsent means that no byte of a request was sent, so that the endpoint cannot
+// have run it.
 var ErrUnsent = errors.New("the request was not sent")
 
-// ErrFull tells that the bound on connections to an endpoint is reached; the
+// ErrFull means that the limit of connections to an endpoint is reached; the
 // request was not sent.
 var ErrFull = errors.New("every connection to the endpoint is in use")
 
 // ClientConn is one connection to an endpoint, in use by one request.
 type ClientConn struct {
-	nc     net.Conn
-	br     *bufio.Reader
-	pool   *Pool
-	addr   string
-	wrote  chan error    // result of the write under way
-	idle   chan struct{} // closed when the watch of the idle connection returned
-	result error         // of that watch
-	since  time.Time     // of becoming idle
-	keep   time.Duration // the endpoint closes idle connections after this; 0 if not told
-	closed sync.Once
-	unbind func() bool // ends what Bind began; false if it has struck already
-	Reused bool        // it has carried a request before
+	nc          net.Conn
+	br          *bufio.Reader
+	pool        *Pool
+	addr        string
+	writeResult chan error    // receives the result of Send's write
+	idleDone    chan struct{} // closed when watchIdle has read
+	idleErr     error         // error of watchIdle's read, valid once idleDone is closed
+	idleSince   time.Time     // when the connection became idle
+	idleTimeout time.Duration // the endpoint's idle timeout; 0 if it did not announce one
+	closed      sync.Once
+	unbind      func() bool // undoes Bind; false if the connection was aborted already
+	Reused      bool        // the connection has carried a request before
 }
 
-// Pool keeps idle connections to endpoints and bounds how many there are.
+// Pool keeps idle connections to endpoints and limits the number of connections to each.
 type Pool struct {
 	dialTimeout time.Duration
 
-	mu     sync.Mutex
-	idle   map[string][]*ClientConn // last used last
-	open   map[string]int           // in use and idle
-	dialed uint64
+	mu        sync.Mutex
+	idle      map[string][]*ClientConn // most recently used last
+	connCount map[string]int           // number of connections by address, in use and idle
+	dialed    uint64
 }
 
 const (
 	clientBuffer = 4 << 10
-	// keepMargin is taken off the endpoint's own idle timeout, so that a
-	// request never crosses the endpoint's close.
+	// keepMargin is subtracted from the endpoint's idle timeout, so that the
+	// endpoint does not close a connection while a request is sent on it.
 	keepMargin = time.Second
-	// keepUntold is how long a connection is kept if the endpoint does not say.
-	keepUntold = 4 * time.Second
+	// defaultIdleTimeout is how long a connection stays idle if the endpoint
+	// announces no timeout.
+	defaultIdleTimeout = 4 * time.Second
 )
 
 // NewPool returns an empty Pool.
 func NewPool(dialTimeout time.Duration) *Pool {
-	return &Pool{dialTimeout: dialTimeout, idle: map[string][]*ClientConn{}, open: map[string]int{}}
+	return &Pool{dialTimeout: dialTimeout, idle: map[string][]*ClientConn{}, connCount: map[string]int{}}
 }
 
-// Get returns a connection to addr, kept or new. Every error means that nothing
-// was sent. most bounds the connections to addr.
-func (p *Pool) Get(ctx context.Context, addr string, most int) (*ClientConn, error) {
+// Get returns an idle or a new connection to addr. Every error means that nothing
+// was sent. maxConns limits the number of connections to addr.
+func (p *Pool) Get(ctx context.Context, addr string, maxConns int) (*ClientConn, error) {
 	for {
-		c := p.take(addr)
+		c := p.popIdle(addr)
 		if c == nil {
 			break
 		}
-		if c.fresh() {
+		if c.usable() {
 			c.Reused = true
 			return c, nil
 		}
 		c.Close()
 	}
-	if !p.reserve(addr, most) {
+	if !p.reserve(addr, maxConns) {
 		return nil, errors.Join(ErrUnsent, ErrFull)
 	}
 	d := sockets.Dialer(p.dialTimeout)
@@ -90,7 +91,7 @@
 	return &ClientConn{nc: nc, br: bufio.NewReaderSize(nc, clientBuffer), pool: p, addr: addr}, nil
 }
 
-func (p *Pool) take(addr string) *ClientConn {
+func (p *Pool) popIdle(addr string) *ClientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	cs := p.idle[addr]
@@ -102,13 +103,13 @@
 	return c
 }
 
-func (p *Pool) reserve(addr string, most int) bool {
+func (p *Pool) reserve(addr string, maxConns int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open[addr] >= most {
+	if p.connCount[addr] >= maxConns {
 		return false
 	}
-	p.open[addr]++
+	p.connCount[addr]++
 	p.dialed++
 	return true
 }
@@ -116,101 +117,101 @@
 func (p *Pool) release(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open[addr]--; p.open[addr] <= 0 {
-		delete(p.open, addr)
+	if p.connCount[addr]--; p.connCount[addr] <= 0 {
+		delete(p.connCount, addr)
 	}
 }
 
-// Dialed returns how many connections were opened.
+// Dialed returns the number of connections dialled so far.
 func (p *Pool) Dialed() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dialed
 }
 
-// Sweep closes idle connections that the endpoints are about to close, and all
-// to addresses that keep does not name.
+// Sweep closes idle connections that the endpoints are about to close, and all those
+// to addresses for which keep returns false.
 func (p *Pool) Sweep(keep func(addr string) bool) {
-	var drop []*ClientConn
+	var toClose []*ClientConn
 	p.mu.Lock()
 	for addr, cs := range p.idle {
-		var stay []*ClientConn
+		var kept []*ClientConn
 		for _, c := range cs {
-			if keep(addr) && c.lasts() {
-				stay = append(stay, c)
+			if keep(addr) && c.withinIdleTimeout() {
+				kept = append(kept, c)
 				continue
 			}
-			drop = append(drop, c)
+			toClose = append(toClose, c)
 		}
-		if len(stay) == 0 {
+		if len(kept) == 0 {
 			delete(p.idle, addr)
 			continue
 		}
-		p.idle[addr] = stay
+		p.idle[addr] = kept
 	}
 	p.mu.Unlock()
-	for _, c := range drop {
+	for _, c := range toClose {
 		c.Close()
 	}
 }
 
-func (c *ClientConn) lasts() bool {
-	keep := keepUntold
-	if c.keep > 0 {
-		keep = c.keep - keepMargin
+func (c *ClientConn) withinIdleTimeout() bool {
+	timeout := defaultIdleTimeout
+	if c.idleTimeout > 0 {
+		timeout = c.idleTimeout - keepMargin
 	}
-	return time.Since(c.since) < keep
+	return time.Since(c.idleSince) < timeout
 }
 
-// fresh ends the watch of an idle connection and reports whether it may be
-// used: neither closed nor sent anything by the endpoint.
-func (c *ClientConn) fresh() bool {
+// usable ends the watch of an idle connection and reports whether it may be used,
+// that is, whether the endpoint has neither closed it nor sent anything on it.
+func (c *ClientConn) usable() bool {
 	_ = c.nc.SetReadDeadline(past)
-	<-c.idle
-	if !errors.Is(c.result, os.ErrDeadlineExceeded) || !c.lasts() {
+	<-c.idleDone
+	if !errors.Is(c.idleErr, os.ErrDeadlineExceeded) || !c.withinIdleTimeout() {
 		return false
 	}
 	return c.nc.SetReadDeadline(time.Time{}) == nil
 }
 
 // Bind makes the end of ctx abort every operation on the connection, until the
-// connection is closed or kept. The bond ends before the connection is in the
-// pool: otherwise a caller that hangs up just after its answer would abort the
-// request that uses the connection next, which then is in doubt. Seen as 1 to 3
-// of 3,200 streams on callers that close at once.
+// connection is closed or returned to the pool. The binding ends before the
+// connection is in the pool: otherwise a caller that hangs up just after its answer
+// would abort the next request on the connection and leave it in doubt, which
+// happened to 1 to 3 of 3,200 streams with callers that close at once.
 func (c *ClientConn) Bind(ctx context.Context) {
 	c.unbind = context.AfterFunc(ctx, func() { _ = c.nc.Close() })
 }
 
-// release ends the bond of Bind; false if the connection was aborted.
-func (c *ClientConn) release() bool { return c.unbind == nil || c.unbind() }
+// unbindContext undoes Bind and reports whether the connection was not aborted.
+func (c *ClientConn) unbindContext() bool { return c.unbind == nil || c.unbind() }
 
 // Close closes the connection; an endpoint then drops the request it carries.
 func (c *ClientConn) Close() {
-	c.release()
+	c.unbindContext()
 	c.closed.Do(func() {
 		_ = c.nc.Close()
 		c.pool.release(c.addr)
 	})
 }
 
-// Keep returns the connection to its pool after a whole response. It is closed
-// instead if anything is left on it that belongs to no request.
+// Keep returns the connection to its pool after a complete response. It closes the
+// connection instead if the request is not fully written or unread bytes remain.
 func (c *ClientConn) Keep() {
-	if !c.release() {
+	if !c.unbindContext() {
 		c.Close()
 		return
 	}
 	c.unbind = nil
 	select {
-	case err := <-c.wrote:
+	case err := <-c.writeResult:
 		if err != nil {
 			c.Close()
 			return
 		}
 	default:
-		// The response came before the request was read to its end: the rest
-		// would be taken for the next request.
+		// The response came before the request was written to its end: the
+		// endpoint would read the rest as the next request.
 		c.Close()
 		return
 	}
@@ -218,29 +219,29 @@
 		c.Close()
 		return
 	}
-	c.since = time.Now()
-	c.idle = make(chan struct{})
+	c.idleSince = time.Now()
+	c.idleDone = make(chan struct{})
 	go c.watchIdle()
 	c.pool.mu.Lock()
 	c.pool.idle[c.addr] = append(c.pool.idle[c.addr], c)
 	c.pool.mu.Unlock()
 }
 
-// watchIdle notices at once that an idle connection has ended or that bytes
-// arrive which no request asked for.
+// watchIdle closes an idle connection as soon as the endpoint closes it or sends
+// bytes that belong to no request.
 func (c *ClientConn) watchIdle() {
 	_, err := c.br.Peek(1)
-	c.result = err
-	close(c.idle)
+	c.idleErr = err
+	close(c.idleDone)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return // taken for a request
+		return // taken from the pool for a request
 	}
 	if c.pool.remove(c) {
 		c.Close()
 	}
 }
 
-// remove takes c out of the idle list; false if it is in use already.
+// remove removes c from the idle list; false if it is in use already.
 func (p *Pool) remove(c *ClientConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -253,8 +254,8 @@
 	return false
 }
 
-// Send writes a request. The write goes on in the background while the response
-// is read: an endpoint may answer before it has read a long body, and both
+// Send writes a request. A large one is written in the background while the response
+// is read: an endpoint may answer before it has read a long body, and otherwise both
 // sides would wait for each other.
 func (c *ClientConn) Send(method, target, host string, h http.Header, body []byte) {
 	b := make([]byte, 0, 512+len(body))
@@ -272,34 +273,34 @@
 	}
 	b = append(b, "\r\n"...)
 	b = append(b, body...)
-	c.wrote = make(chan error, 1)
+	c.writeResult = make(chan error, 1)
 	if len(b) <= inlineWrite {
 		_, err := c.nc.Write(b)
-		c.wrote <- err
+		c.writeResult <- err
 		return
 	}
 	go func() {
 		_, err := c.nc.Write(b)
-		c.wrote <- err
+		c.writeResult <- err
 	}()
 }
 
-// inlineWrite is what fits every socket's send buffer: such a write never
-// waits for the endpoint and needs no goroutine.
+// inlineWrite is a size in bytes that fits every socket's send buffer: a write up to
+// it never waits for the endpoint and needs no goroutine.
 const inlineWrite = 8 << 10
 
-// Response is the head of an endpoint's response with its body to be read.
+// Response is the head of an endpoint's response and a reader of its body.
 type Response struct {
-	Status int
-	Header http.Header
-	Body   io.Reader
-	Length int64 // -1 if not known
-	Framed bool  // its end is told, not only shown by the end of the connection
-	reuse  bool
-	conn   *ClientConn
+	Status   int
+	Header   http.Header
+	Body     io.Reader
+	Length   int64 // -1 if not known
+	Framed   bool  // delimited by a length or chunks, not by the end of the connection
+	reusable bool
+	conn     *ClientConn
 }
 
-// Receive reads the head of the next response; interim ones are skipped.
+// Receive reads the head of the next final response; it skips those of status 1xx.
 func (c *ClientConn) Receive(method string) (*Response, error) {
 	req := &http.Request{Method: method}
 	for {
@@ -312,18 +313,18 @@
 		}
 		if s, ok := strings.CutPrefix(r.Header.Get("Keep-Alive"), "timeout="); ok {
 			if n, err := strconv.Atoi(s); err == nil {
-				c.keep = time.Duration(n) * time.Second
+				c.idleTimeout = time.Duration(n) * time.Second
 			}
 		}
 		framed := r.ContentLength >= 0 || len(r.TransferEncoding) > 0
-		return &Response{Status: r.StatusCode, Header: r.Header, Body: r.Body, Length: r.ContentLength, Framed: framed, reuse: framed && !r.Close, conn: c}, nil
+		return &Response{Status: r.StatusCode, Header: r.Header, Body: r.Body, Length: r.ContentLength, Framed: framed, reusable: framed && !r.Close, conn: c}, nil
 	}
 }
 
-// Done returns the connection after the body was read to its end: to the pool
-// if it can carry another request.
+// Done releases the connection after the body was read to its end: to the pool if it
+// can carry another request, else it is closed.
 func (r *Response) Done() {
-	if !r.reuse {
+	if !r.reusable {
 		r.conn.Close()
 		return
 	}
@@ -331,5 +332,5 @@
 }
 
 // Drop closes the connection without reading the rest of the body; the endpoint
-// then stops its work on the request.
+// then stops processing the request.
 func (r *Response) Drop() { r.conn.Close() }
--- a/internal/adapter/http1/doc.go
+++ b/internal/adapter/http1/doc.go
@@ -1,13 +1,13 @@
-// Package http1 owns HTTP/1.1 connections on both sides of an entry: those of
-// callers and those to endpoints. Parsing is net/http's; what this package adds
-// is what a proxy must decide itself:
+// Package http1 manages HTTP/1.1 connections on both sides of an entry: those of
+// callers and those to endpoints. It parses with net/http and adds what a proxy
+// must control itself:
 //
 //   - A head that two parsers could read differently is refused, so that no
 //     request can be smuggled inside another.
-//   - Nothing is ever sent twice. The standard client repeats a request by
-//     itself when a kept connection closes under it.
-//   - An idle connection to an endpoint is watched. Bytes that arrive on it
-//     belong to no request and close it; so does its end, at once.
+//   - The package never sends a request twice. The standard client repeats a
+//     request by itself if a reused connection closes before the response.
+//   - Idle connections to endpoints are watched. A connection is closed as soon
+//     as the endpoint closes it or sends bytes that belong to no request.
 //   - Every connection has keep-alive probes and a bound on unacknowledged
-//     data: one that went silent without a reset is found within seconds.
+//     data: one that went silent without a reset is detected within seconds.
 package http1
--- a/internal/adapter/http1/http1_test.go
+++ b/internal/adapter/http1/http1_test.go
@@ -13,8 +13,8 @@
 
 var testLimits = Limits{HeaderBytes: 2 << 10, BodyBytes: 1 << 10, HeaderTimeout: 200 * time.Millisecond, IdleTimeout: time.Second}
 
-// offer gives raw bytes to a Conn and returns what it reads.
-func offer(t *testing.T, raw string) (*Request, error) {
+// readRaw returns the request that a Conn reads from raw.
+func readRaw(t *testing.T, raw string) (*Request, error) {
 	t.Helper()
 	a, b := net.Pipe()
 	t.Cleanup(func() { _ = a.Close(); _ = b.Close() })
@@ -32,7 +32,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r, err := offer(t, tc.raw)
+			r, err := readRaw(t, tc.raw)
 			is.NoErr(err)
 			is.Equal(r.Method, tc.method)
 			is.Equal(r.Target, tc.target)
@@ -41,10 +41,9 @@
 	}
 }
 
-// Symptom: an endpoint runs a request that nobody sent.
-// Sequence: a caller sends a head that two parsers end at different places.
-// Cause: the part that the first parser takes for a body is a request to the
-// second.
+// A head that two parsers could end at different places must be refused. Otherwise what
+// the first parser reads as a body can be a request to the second, and an endpoint runs a
+// request that nobody sent.
 func TestAmbiguousHeadsAreRefused(t *testing.T) {
 	const start = "POST /a HTTP/1.1\r\nHost: x\r\n"
 	cases := map[string]struct {
@@ -70,7 +69,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := offer(t, tc.raw)
+			_, err := readRaw(t, tc.raw)
 			var bad *BadRequest
 			is.True(errors.As(err, &bad))
 			is.Equal(bad.Status, tc.status)
@@ -96,10 +95,8 @@
 	})
 }
 
-// Symptom: a request goes out on a connection that the endpoint has closed, and
-// is in doubt.
-// Sequence: a kept connection is closed by the endpoint while idle.
-// Cause: nobody looks at idle connections.
+// A connection that the endpoint closed while it was idle must not be reused: a request
+// sent on it would be in doubt.
 func TestIdleConnectionThatEndsIsDropped(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -140,7 +137,7 @@
 	is.Equal(p.Dialed(), uint64(3))
 }
 
-func TestBoundOnConnections(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -157,9 +154,9 @@
 	b.Close()
 }
 
-// Symptom: the process ends with a nil pointer, cutting every stream.
-// Sequence: an idle connection is swept, or found stale, while its watch wakes.
-// Cause: closing took the pool away from a connection that its watch still used.
+// An idle connection may be closed by Sweep or Get while its watch wakes. If closing
+// clears the connection's pool while the watch still uses it, the nil pointer ends the
+// process and every stream with it.
 func TestSweepRacesWithTheEndOfIdleConnections(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -189,5 +186,5 @@
 		r.Done()
 		p.Sweep(func(string) bool { return false })
 	}
-	is.Equal(len(p.open), 0) // every connection was counted out once
+	is.Equal(len(p.connCount), 0) // every connection was released exactly once
 }
--- a/internal/adapter/http1/request.go
+++ b/internal/adapter/http1/request.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Request is a whole request as a caller sent it.
+// Request is a complete request as a caller sent it.
 type Request struct {
 	Method string
 	Target string // as on the request line
@@ -19,12 +19,11 @@
 	Header http.Header
 	Body   []byte
 	Close  bool // the caller will not use the connection again
-	Minor  int  // of the HTTP version: 0 or 1
+	Minor  int  // minor HTTP version: 0 or 1
 }
 
-// BadRequest tells that a request is refused before it is looked at further.
-// The connection cannot be used again: where its next request begins is not
-// certain.
+// BadRequest is the error for a request that is refused before it is processed. The
+// connection cannot be used again, because the start of its next request is uncertain.
 type BadRequest struct {
 	Status int
 	Reason string
@@ -33,9 +32,9 @@
 // Error implements error.
 func (e *BadRequest) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Reason) }
 
-func bad(reason string) error { return &BadRequest{http.StatusBadRequest, reason} }
+func badRequest(reason string) error { return &BadRequest{http.StatusBadRequest, reason} }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bounds the size of a caller's requests and the time to receive them.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -43,13 +42,13 @@
 	IdleTimeout   time.Duration
 }
 
-// readHead returns the raw head without consuming it. More than limit bytes
-// without an end are refused.
+// readHead returns the raw head without consuming it. A head of more than limit bytes
+// is refused.
 func readHead(br *bufio.Reader, limit int) ([]byte, error) {
-	seen := 0
+	scanned := 0
 	for {
 		b, _ := br.Peek(br.Buffered())
-		from := max(0, seen-3)
+		from := max(0, scanned-3)
 		end := bytes.Index(b[from:], []byte("\r\n\r\n"))
 		if from+end+4 > limit || (end < 0 && len(b) >= limit) {
 			return nil, &BadRequest{http.StatusRequestHeaderFieldsTooLarge, "the header is too large"}
@@ -57,40 +56,40 @@
 		if end >= 0 {
 			return b[:from+end+4], nil
 		}
-		seen = len(b)
-		if _, err := br.Peek(seen + 1); err != nil {
+		scanned = len(b)
+		if _, err := br.Peek(scanned + 1); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// checkHead refuses heads that parsers read in different ways.
+// checkHead refuses heads that two parsers could read differently.
 func checkHead(head []byte) error {
 	lines := strings.Split(strings.TrimSuffix(string(head), "\r\n\r\n"), "\r\n")
 	if strings.Count(lines[0], " ") != 2 {
-		return bad("the request line is malformed")
+		return badRequest("the request line is malformed")
 	}
 	count := map[string]int{}
 	for i, line := range lines {
 		if strings.ContainsAny(line, "\r\n\x00") {
-			return bad("a line of the header ends in another way than CR LF")
+			return badRequest("a line of the header ends in another way than CR LF")
 		}
 		if i == 0 {
 			continue
 		}
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || name == "" || strings.ContainsAny(name, " \t") {
-			return bad("a field name is malformed")
+			return badRequest("a field name is malformed")
 		}
 		if err := checkField(strings.ToLower(name), strings.Trim(value, " \t"), count); err != nil {
 			return err
 		}
 	}
 	if count["host"] != 1 && strings.HasSuffix(lines[0], "HTTP/1.1") {
-		return bad("exactly one Host field is needed")
+		return badRequest("exactly one Host field is needed")
 	}
 	if count["content-length"] > 0 && count["transfer-encoding"] > 0 {
-		return bad("both Content-Length and Transfer-Encoding are given")
+		return badRequest("both Content-Length and Transfer-Encoding are given")
 	}
 	return nil
 }
@@ -100,7 +99,7 @@
 	switch name {
 	case "content-length":
 		if value == "" || strings.Trim(value, "0123456789") != "" {
-			return bad("Content-Length is not a number")
+			return badRequest("Content-Length is not a number")
 		}
 	case "transfer-encoding":
 		if !strings.EqualFold(value, "chunked") {
@@ -111,13 +110,13 @@
 		return nil
 	}
 	if count[name] > 1 {
-		return bad("the field " + name + " is repeated")
+		return badRequest("the field " + name + " is repeated")
 	}
 	return nil
 }
 
-// readBody reads the whole body. A body beyond the limit is refused without
-// being read.
+// readBody reads the whole body. A body whose announced length exceeds the limit is
+// refused without being read.
 func readBody(r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength > limit {
 		return nil, &BadRequest{http.StatusRequestEntityTooLarge, "the body is too large"}
--- a/internal/adapter/http1/server.go
+++ b/internal/adapter/http1/server.go
@@ -18,22 +18,22 @@
 	nc      net.Conn
 	br      *bufio.Reader
 	limits  func() Limits
-	watched chan struct{} // closed when the watch has returned; nil without one
-	close   bool          // to be closed after the response
+	watched chan struct{} // closed when the watch has ended; nil if none runs
+	close   bool          // the connection is to be closed after the response
 	chunked bool
 }
 
 const (
-	// readBuffer holds the largest head that callers may send.
+	// readBuffer is the size of the read buffer. It bounds the head of a request.
 	readBuffer = 16<<10 + 512
-	// bodyTimeout bounds a request's body as a whole.
+	// bodyTimeout bounds the time to receive a whole request body.
 	bodyTimeout = 30 * time.Second
 	// writeTimeout bounds one write: a caller that stops reading must not hold
 	// an endpoint's slot.
 	writeTimeout = 5 * time.Second
 )
 
-// NewConn returns a Conn. limits is asked anew for each request.
+// NewConn returns a Conn. limits is called for each request.
 func NewConn(nc net.Conn, limits func() Limits) *Conn {
 	return &Conn{nc: nc, br: bufio.NewReaderSize(nc, readBuffer), limits: limits}
 }
@@ -44,14 +44,12 @@
 // Remote returns the caller's address.
 func (c *Conn) Remote() string { return c.nc.RemoteAddr().String() }
 
-// Interrupt ends a wait for the next request; a request that has begun to
-// arrive is read to its end.
+// Interrupt ends Wait. A request that has begun to arrive is still read to its end.
 func (c *Conn) Interrupt() { _ = c.nc.SetReadDeadline(past) }
 
 var past = time.Unix(1, 0)
 
-// Wait blocks until the next request begins to arrive, at most the idle
-// timeout.
+// Wait blocks until the next request begins to arrive, at most for the idle timeout.
 func (c *Conn) Wait() error {
 	if c.br.Buffered() > 0 {
 		return nil
@@ -63,8 +61,8 @@
 	return err
 }
 
-// ReadRequest reads one whole request. The error is a *BadRequest if the caller
-// should be told why.
+// ReadRequest reads one complete request. The error is a *BadRequest if it should be
+// reported to the caller.
 func (c *Conn) ReadRequest() (*Request, error) {
 	lim := c.limits()
 	if err := c.nc.SetReadDeadline(time.Now().Add(lim.HeaderTimeout)); err != nil {
@@ -79,7 +77,7 @@
 	}
 	r, err := http.ReadRequest(c.br)
 	if err != nil {
-		return nil, bad("the request is malformed: " + err.Error())
+		return nil, badRequest("the request is malformed: " + err.Error())
 	}
 	if err := c.nc.SetReadDeadline(time.Now().Add(bodyTimeout)); err != nil {
 		return nil, err
@@ -103,7 +101,7 @@
 	}, nil
 }
 
-// timedOut turns a deadline into an answer for the caller.
+// timedOut replaces an exceeded deadline by an error that is reported to the caller.
 func timedOut(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return &BadRequest{http.StatusRequestTimeout, "the request did not arrive in time"}
@@ -111,21 +109,21 @@
 	return err
 }
 
-// Watch calls gone when the caller closes the connection before Unwatch. A
+// Watch calls onClose when the caller closes the connection before Unwatch. A
 // pipelined request stays buffered and ends the watch.
-func (c *Conn) Watch(gone context.CancelFunc) {
+func (c *Conn) Watch(onClose context.CancelFunc) {
 	done := make(chan struct{})
 	c.watched = done
 	go func() {
 		defer close(done)
 		_, err := c.br.Peek(1)
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			gone()
+			onClose()
 		}
 	}()
 }
 
-// Unwatch ends the watch and waits for its end, so that the next read is alone.
+// Unwatch ends the watch and waits until it has stopped reading.
 func (c *Conn) Unwatch() {
 	if c.watched == nil {
 		return
@@ -142,7 +140,8 @@
 // Closing reports whether the connection is to be closed after the response.
 func (c *Conn) Closing() bool { return c.close }
 
-// WriteResponse writes a whole response with a known body.
+// WriteResponse writes a complete response. If head is set, the body is left out but its
+// length is announced.
 func (c *Conn) WriteResponse(status int, h http.Header, body []byte, head bool) error {
 	b := c.appendHead(make([]byte, 0, 512+len(body)), status, h)
 	if status != http.StatusNoContent && status != http.StatusNotModified {
@@ -171,7 +170,7 @@
 	return c.write(append(b, "\r\n"...))
 }
 
-// Part writes a piece of the body after Begin.
+// Part writes a part of the body after Begin.
 func (c *Conn) Part(p []byte) error {
 	if len(p) == 0 {
 		return nil
@@ -186,8 +185,8 @@
 	return c.write(append(b, "\r\n"...))
 }
 
-// End ends the body after Begin. A body that is not whole must never be ended:
-// the connection is closed instead.
+// End ends the body after Begin. It must not be called for an incomplete body: close
+// the connection instead.
 func (c *Conn) End() error {
 	if !c.chunked {
 		return nil
@@ -216,12 +215,12 @@
 	return b
 }
 
-// hopByHop are the fields that concern one connection only.
+// hopByHop lists the fields that concern one connection only.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// appendFields writes all fields but those of one connection.
+// appendFields appends all end-to-end fields of h.
 func appendFields(b []byte, h http.Header) []byte {
 	named := connectionNamed(h)
 	for name, vs := range h {
@@ -238,8 +237,8 @@
 	return b
 }
 
-// EndToEnd returns a copy of a message's fields without those that concern its connection
-// only. Fields that are set on the copy are sent, whatever the Connection field named.
+// EndToEnd returns a copy of a message's fields without the hop-by-hop ones. Fields that
+// are set on the copy are sent even if the Connection field of h names them.
 func EndToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	for _, name := range connectionNamed(h) {
@@ -251,7 +250,7 @@
 	return out
 }
 
-// connectionNamed returns the fields that the Connection field names.
+// connectionNamed returns the names of the fields that the Connection field lists.
 func connectionNamed(h http.Header) []string {
 	var out []string
 	for _, v := range h["Connection"] {
