--- a/internal/adapter/enginehttp/enginehttp.go
+++ b/internal/adapter/enginehttp/enginehttp.go
@@ -1,8 +1,8 @@
-// Package enginehttp speaks to model engines and plain services over HTTP.
+// Package enginehttp is the HTTP client for model engines and plain services.
 //
 // Requests go to the engine's OpenAI-style paths with an X-Request-Id that the
-// engine echoes; orders go to /admin. Published engines differ in their order
-// paths; this package is the only one that knows them.
+// engine echoes; orders go to /admin. Published engines differ in the paths for
+// orders; only this package depends on them.
 package enginehttp
 
 import (
@@ -27,14 +27,14 @@
 )
 
 const (
-	// RequestIDHeader names a request at the engine.
+	// RequestIDHeader carries the id of a request.
 	RequestIDHeader = "X-Request-Id"
 	maxAdminBody    = 16 << 20
 	dialTimeout     = 2 * time.Second
 	idleTimeout     = 30 * time.Second
 )
 
-// Client speaks to one engine or plain service. It implements port.Engine.
+// Client is the client of one engine or plain service. It implements port.Engine.
 type Client struct {
 	base string
 	http *http.Client
@@ -51,11 +51,11 @@
 	return &Client{base: base, http: &http.Client{Transport: t, CheckRedirect: noRedirect}}
 }
 
-// noRedirect hands redirects through: following one would run a call twice.
+// noRedirect returns redirects to the caller: following one would run a call twice.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Run implements port.Backend. The caller's Idempotency-Key is not passed on:
-// the HTTP library takes that header as leave to send a request again by itself.
+// Run implements port.Backend. It does not forward the caller's Idempotency-Key:
+// net/http treats that header as permission to send a request again by itself.
 func (c *Client) Run(ctx context.Context, call port.Call) (*port.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, call.Method, c.base+call.Path, bytes.NewReader(call.Body))
 	if err != nil {
@@ -142,8 +142,8 @@
 	return out, c.admin(ctx, http.MethodGet, "/admin/cached", nil, &out)
 }
 
-// admin carries out one order or question. A 4xx answer or 507 is the engine's
-// word that nothing happened; anything else that fails leaves it open.
+// admin sends one order or query. After an answer of status 4xx or 507 the order had no
+// effect and the error wraps port.ErrRefused; after any other error it may have had one.
 func (c *Client) admin(ctx context.Context, method, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
--- a/internal/adapter/hostlisthttp/hostlisthttp.go
+++ b/internal/adapter/hostlisthttp/hostlisthttp.go
@@ -1,5 +1,5 @@
-// Package hostlisthttp reads the platform's list of live and leaving hosts, a
-// JSON array of {"id","state"} objects, over HTTP.
+// Package hostlisthttp reads the platform's list of live and leaving hosts over
+// HTTP. The list is a JSON array of {"id","state"} objects.
 package hostlisthttp
 
 import (
--- a/internal/adapter/logs/bounded_test.go
+++ b/internal/adapter/logs/bounded_test.go
@@ -13,11 +13,9 @@
 	"github.com/rs/zerolog"
 )
 
-// Symptom: requests stop because nobody reads the log.
-// Sequence: standard output is a pipe whose reader stopped reading; many
-// requests end.
-// Cause: a line that waits for the pipe.
-func TestFullPipeCostsLinesNotRequests(t *testing.T) {
+// If standard output is a pipe whose reader stopped reading, lines must be dropped. A
+// write that waits for the pipe would block every request.
+func TestFullPipeDropsLinesWithoutBlocking(t *testing.T) {
 	is := is.New(t)
 	r, w, err := os.Pipe()
 	is.NoErr(err)
@@ -50,9 +48,8 @@
 	return s.b.String()
 }
 
-// Symptom: the one line that tells why a request failed is missing.
-// Sequence: ten times the usual rate of successes, failures among them.
-// Cause: lines are left out without regard to what they tell.
+// At ten times the usual rate of successes every failure must still be logged. If lines
+// are dropped regardless of their event, the reason for a failure is missing.
 func TestFailuresAreKeptAtTenTimesTheRate(t *testing.T) {
 	is := is.New(t)
 	var out safeBuffer
@@ -72,7 +69,7 @@
 	ordinary, others := b.Dropped()
 	is.True(ordinary > 0)
 	is.Equal(others, uint64(0))
-	is.True(strings.Contains(out.String(), "event=log_lines_dropped")) // and says so
+	is.True(strings.Contains(out.String(), "event=log_lines_dropped")) // and the drops are reported
 }
 
 func BenchmarkLine(b *testing.B) {
@@ -81,7 +78,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		log.Warn().Str("request", "9c41d07be2a35f68").Str("endpoint", "i-7f3a91c2").Int("status", 200).Dur("took", time.Second).Msg("request_refused")
-		for len(s.queue) > queued/2 {
+		for len(s.queue) > queueSize/2 {
 			time.Sleep(10 * time.Microsecond)
 		}
 	}
--- a/internal/adapter/logs/logs.go
+++ b/internal/adapter/logs/logs.go
@@ -1,4 +1,5 @@
-// Package logs writes one line of key=value pairs per event.
+// Package logs writes one line of key=value pairs per event, optionally through a
+// queue that never blocks the caller.
 package logs
 
 import (
@@ -11,13 +12,13 @@
 	"github.com/rs/zerolog"
 )
 
-// New returns a logger that writes to w at the given level and above. Values
-// are quoted where they need it, so every event stays on one line.
+// New returns a logger that writes to w at the given level and above. Values are
+// quoted where needed, so that every event stays on one line.
 func New(w io.Writer, level zerolog.Level, role, host string) zerolog.Logger {
 	return zerolog.New(format(w)).Level(level).With().Timestamp().Str("role", role).Str("host", host).Logger()
 }
 
-// format returns a writer that turns zerolog's lines into key=value pairs.
+// format returns a writer that converts zerolog's JSON lines to key=value pairs.
 func format(w io.Writer) io.Writer {
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 	return zerolog.ConsoleWriter{
@@ -43,7 +44,8 @@
 	return k + "=" + value(v)
 }
 
-// value formats one value, quoted if a reader could mistake its end.
+// value formats one value. It is quoted if it is empty or contains white space, a
+// quote or an equals sign.
 func value(v any) string {
 	var s string
 	switch x := v.(type) {
@@ -54,7 +56,7 @@
 	default:
 		s = fmt.Sprint(x)
 	}
-	// zerolog hands over values that it has quoted already.
+	// zerolog passes some values already quoted.
 	if u, err := strconv.Unquote(s); err == nil && strings.HasPrefix(s, `"`) {
 		s = u
 	}
--- a/internal/adapter/opshttp/opshttp.go
+++ b/internal/adapter/opshttp/opshttp.go
@@ -1,5 +1,5 @@
-// Package opshttp is what every role shows operators: health, readiness and
-// metrics.
+// Package opshttp is the operators' HTTP interface of every role: health, readiness
+// and metrics.
 package opshttp
 
 import (
@@ -16,18 +16,18 @@
 
 const readyTimeout = time.Second
 
-// Metrics is what a role measures.
+// Metrics is a set of metrics that can be written in the Prometheus format.
 type Metrics interface{ WritePrometheus(w io.Writer) }
 
-// New returns an HTTP interface with /healthz, /readyz and /metrics. ready
-// returns why the process is not ready, or nil.
+// New returns an HTTP interface with /healthz, /readyz and /metrics. ready returns
+// nil, or the reason why the process is not ready.
 func New(ready func(context.Context) error, set Metrics) *echo.Echo {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	Health(e, ready)
 	e.GET("/metrics", func(x echo.Context) error {
 		set.WritePrometheus(x.Response())
-		vm.WriteProcessMetrics(x.Response()) // memory, processor, descriptors
+		vm.WriteProcessMetrics(x.Response()) // memory, processor time, file descriptors
 		return nil
 	})
 	return e
@@ -46,7 +46,8 @@
 	})
 }
 
-// CountBytes adds the bytes exchanged with the system's own processes.
+// CountBytes adds the bytes exchanged with the system's own processes to a set of
+// metrics.
 func CountBytes(s *vm.Set, c *rpc.Counter) {
 	s.NewGauge("cassiapass_rpc_received_bytes_total", func() float64 { return float64(c.In.Load()) })
 	s.NewGauge("cassiapass_rpc_sent_bytes_total", func() float64 { return float64(c.Out.Load()) })
--- a/internal/adapter/plots/plots.go
+++ b/internal/adapter/plots/plots.go
@@ -20,8 +20,8 @@
 	height = 10 * vg.Centimeter // of each plot
 )
 
-// AddLine adds a line in the i-th colour, named in the legend; one without points
-// is left out.
+// AddLine adds a line in the i-th colour with its name in the legend. A line without
+// points is left out.
 func AddLine(p *plot.Plot, i int, name string, xy plotter.XYs) error {
 	if len(xy) == 0 {
 		return nil
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// Save draws plots below each other into a file: SVG if its name ends so, else
+// Save draws plots below each other into a file: SVG if its name ends in .svg, else
 // PNG.
 func Save(file string, ps ...*plot.Plot) error {
 	total := height * vg.Length(len(ps))
@@ -59,7 +59,7 @@
 		return err
 	}
 	if _, err := c.WriteTo(f); err != nil {
-		_ = f.Close() // the failed write is what matters
+		_ = f.Close() // the write error is returned
 		return err
 	}
 	return f.Close()
--- a/internal/adapter/settings/settings.go
+++ b/internal/adapter/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads flags and environment variables and checks them. Every
-// setting is both; all mistakes are listed at once, each with its flag, its
-// value and what is allowed.
+// Package settings reads and checks flags and environment variables. Every setting
+// can be given as either. All invalid settings are reported at once, each with its
+// flag, its value and what is allowed.
 package settings
 
 import (
@@ -21,18 +21,18 @@
 	"github.com/cassiapass/cassiapass/internal/adapter/tlsconf"
 )
 
-// ExitUsage is the exit code for wrong settings.
+// ExitUsage is the exit code for invalid settings.
 const ExitUsage = 2
 
-// minKey is the shortest shared key in bytes.
+// minKey is the minimum length of a shared key or token in bytes.
 const minKey = 16
 
-// Problem is one wrong setting.
+// Problem is one invalid setting.
 type Problem struct {
 	Flag, Value, Allowed string
 }
 
-// Problems lists every wrong setting.
+// Problems lists all invalid settings.
 type Problems []Problem
 
 // Error lists the problems, one per line.
@@ -52,17 +52,17 @@
 	c.Problems = append(c.Problems, Problem{flag, value, allowed})
 }
 
-var nameForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
 // Name checks a host, availability zone, place or group name.
 func (c *Checker) Name(flag, v string) {
-	if !nameForm.MatchString(v) {
+	if !namePattern.MatchString(v) {
 		c.Fail(flag, v, "required: letters, digits, '.', '_' and '-', at most 64")
 	}
 }
 
-// Addr checks an IP number and port. Names are not resolved: the system talks
-// by IP numbers only.
+// Addr checks an IP address and port. Host names are refused: the system connects by
+// IP address only.
 func (c *Checker) Addr(flag, v string, optional bool) {
 	if v == "" && optional {
 		return
@@ -82,14 +82,14 @@
 	}
 }
 
-// Positive checks a number.
+// Positive checks that a number is greater than 0.
 func Positive[N int | int64 | float64 | time.Duration](c *Checker, flag string, v N) {
 	if v <= 0 {
 		c.Fail(flag, fmt.Sprint(v), "greater than 0")
 	}
 }
 
-// Identity is who a process is.
+// Identity holds the settings that identify a process.
 type Identity struct {
 	Host  string `long:"host" env:"CASSIAPASS_HOST" description:"name of this host, unique in the deployment"`
 	Zone  string `long:"availability-zone" env:"CASSIAPASS_AVAILABILITY_ZONE" description:"availability zone of this host"`
@@ -103,7 +103,8 @@
 	c.Name("group", i.Group)
 }
 
-// Security is how connections between the system's own processes are protected.
+// Security holds the settings that protect connections between the system's own
+// processes.
 type Security struct {
 	KeyFile  string `long:"shared-key-file" env:"CASSIAPASS_SHARED_KEY_FILE" description:"file with the key that all processes share, at least 16 bytes"`
 	Cert     string `long:"peer-tls-cert" env:"CASSIAPASS_PEER_TLS_CERT" description:"PEM certificate for TLS between processes; read again when it changes"`
@@ -112,7 +113,7 @@
 	Insecure bool   `long:"insecure-no-peer-auth" env:"CASSIAPASS_INSECURE_NO_PEER_AUTH" description:"let any process connect; never on a shared network"`
 }
 
-// Load checks the settings and reads the files.
+// Load checks the settings and reads the files that they name.
 func (s *Security) Load(c *Checker) rpc.Security {
 	var out rpc.Security
 	if s.KeyFile != "" {
@@ -148,8 +149,8 @@
 	return key
 }
 
-// ReadToken reads a secret from a file; an empty name is allowed when insecure
-// was asked for.
+// ReadToken reads a secret from a file. An empty file name is allowed if insecure is
+// set.
 func ReadToken(c *Checker, flag, file string, insecure bool) string {
 	if file == "" {
 		if !insecure {
@@ -169,12 +170,12 @@
 	return t
 }
 
-// Logging is how much is logged.
+// Logging holds the settings of the log.
 type Logging struct {
 	Level string `long:"log-level" env:"CASSIAPASS_LOG_LEVEL" default:"info" description:"debug, info, warn or error"`
 }
 
-// Check returns the level.
+// Check checks and returns the level.
 func (l *Logging) Check(c *Checker) zerolog.Level {
 	lv, err := zerolog.ParseLevel(l.Level)
 	if err != nil || lv < zerolog.DebugLevel || lv > zerolog.ErrorLevel {
@@ -183,7 +184,7 @@
 	return lv
 }
 
-// Version returns the version that was built.
+// Version returns the version of the program from its build information.
 func Version() string {
 	if bi, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range bi.Settings {
@@ -196,8 +197,8 @@
 	return "unknown"
 }
 
-// Parse reads args into opts, which has go-flags tags, and then runs check. It
-// returns an exit code and whether the program should go on.
+// Parse parses args into opts, which has go-flags tags, and then runs check. It
+// returns an exit code and whether the program should continue.
 func Parse(opts any, args []string, out, errs io.Writer, check func(*Checker)) (code int, ok bool) {
 	var common struct {
 		Version bool `long:"version" description:"print the version and exit"`
--- a/internal/adapter/sockets/sockets.go
+++ b/internal/adapter/sockets/sockets.go
@@ -1,7 +1,6 @@
-// Package sockets opens TCP connections that notice a dead path by themselves.
-// Something between two ends may lose track of a connection without a reset, and
-// hosts behind a partition swallow packets: only probes and bounds of our own
-// show it.
+// Package sockets opens TCP connections that detect a dead path. A middlebox may
+// drop the state of a connection without a reset, and packets to a partitioned host
+// are lost; only keep-alive probes and a bound on unacknowledged data reveal either.
 package sockets
 
 import (
@@ -13,9 +12,9 @@
 )
 
 const (
-	// probeIdle, probeEvery and probeCount find a dead path within about 3 s:
-	// callers give a silent stream up after 2 s at the earliest, so sooner
-	// would only cost packets.
+	// probeIdle, probeEvery and probeCount detect a dead path within about 3 s.
+	// Callers abandon a silent stream after 2 s at the earliest, so faster
+	// probes would only cost packets.
 	probeIdle  = 1 * time.Second
 	probeEvery = 1 * time.Second
 	probeCount = 2
@@ -25,7 +24,7 @@
 
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probeCount}
 
-// control sets the bound on unacknowledged data before a socket is used.
+// control sets TCP_USER_TIMEOUT before a socket is used.
 func control(_, _ string, c syscall.RawConn) error {
 	var err error
 	cerr := c.Control(func(fd uintptr) {
@@ -37,12 +36,12 @@
 	return err
 }
 
-// ListenConfig returns how listeners are opened.
+// ListenConfig returns a net.ListenConfig with these options.
 func ListenConfig() net.ListenConfig {
 	return net.ListenConfig{Control: control, KeepAliveConfig: keepAlive}
 }
 
-// Dialer returns how connections are opened.
+// Dialer returns a net.Dialer with these options and the given dial timeout.
 func Dialer(timeout time.Duration) net.Dialer {
 	return net.Dialer{Timeout: timeout, Control: control, KeepAliveConfig: keepAlive}
 }
--- a/internal/adapter/tlsconf/tlsconf.go
+++ b/internal/adapter/tlsconf/tlsconf.go
@@ -1,5 +1,5 @@
-// Package tlsconf makes TLS configurations whose certificate is read again when
-// its file changes, so that a certificate is renewed without a restart.
+// Package tlsconf builds TLS configurations that read their certificate again when
+// its file changes, so that it can be renewed without a restart.
 package tlsconf
 
 import (
@@ -14,24 +14,24 @@
 
 const checkEvery = 5 * time.Second
 
-// Files names the PEM files of one side.
+// Files names the PEM files of one side of a connection.
 type Files struct {
 	Cert string
 	Key  string
-	CA   string // certificates that the other side's must be signed by
+	CA   string // certificates of the authorities that must have signed the peer's certificate
 }
 
-// keypair holds a certificate and reads it again when the file is newer.
+// keypair holds a certificate and reads it again when its file is newer.
 type keypair struct {
-	files   Files
-	mu      sync.Mutex
-	cert    *tls.Certificate
-	loaded  time.Time // modification time of the loaded file
-	checked time.Time
+	files         Files
+	mu            sync.Mutex
+	cert          *tls.Certificate
+	loadedModTime time.Time // modification time of the loaded file
+	checked       time.Time
 }
 
-// get returns the present certificate. A file that cannot be read keeps the one
-// in use: a half-written renewal must not take the service down.
+// get returns the current certificate. If the file cannot be read, the one in use
+// stays: a partly written renewal must not take the service down.
 func (k *keypair) get() (*tls.Certificate, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -41,10 +41,10 @@
 	}
 	k.checked = now
 	info, err := os.Stat(k.files.Cert)
-	if err == nil && (k.cert == nil || info.ModTime().After(k.loaded)) {
+	if err == nil && (k.cert == nil || info.ModTime().After(k.loadedModTime)) {
 		var c tls.Certificate
 		if c, err = tls.LoadX509KeyPair(k.files.Cert, k.files.Key); err == nil {
-			k.cert, k.loaded = &c, info.ModTime()
+			k.cert, k.loadedModTime = &c, info.ModTime()
 		}
 	}
 	if k.cert == nil {
@@ -65,8 +65,8 @@
 	return p, nil
 }
 
-// Server returns the configuration of a listener. With a CA, clients must show
-// a certificate signed by it.
+// Server returns the configuration of a listener. With a CA, clients must present a
+// certificate signed by it.
 func Server(f Files) (*tls.Config, error) {
 	k := &keypair{files: f}
 	if _, err := k.get(); err != nil {
@@ -87,9 +87,10 @@
 	return c, nil
 }
 
-// Client returns the configuration of the dialling side between the system's
-// own processes. Any certificate signed by the CA is accepted: processes are
-// reached by IP numbers that change, and the CA signs only this system's.
+// Client returns the configuration of the dialling side between the system's own
+// processes. It accepts any certificate signed by the CA and checks no names:
+// processes are reached at IP addresses that change, and the CA must sign certificates
+// of this system only.
 func Client(f Files) (*tls.Config, error) {
 	p, err := pool(f.CA)
 	if err != nil {
@@ -102,7 +103,7 @@
 	return &tls.Config{
 		MinVersion:           tls.VersionTLS12,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return k.get() },
-		// Names are not checked, but the chain is, below.
+		// Disables the check of names; VerifyConnection checks the chain.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(s tls.ConnectionState) error {
 			opts := x509.VerifyOptions{Roots: p, Intermediates: x509.NewCertPool(), KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}}
--- a/internal/adapter/tlsconf/tlsconf_test.go
+++ b/internal/adapter/tlsconf/tlsconf_test.go
@@ -80,8 +80,9 @@
 	}
 }
 
-// shake connects a client to a server and returns the server's serial number.
-func shake(t *testing.T, server, client *tls.Config) (serial int64, err error) {
+// handshake connects a client to a server and returns the serial number of the
+// server's certificate.
+func handshake(t *testing.T, server, client *tls.Config) (serial int64, err error) {
 	t.Helper()
 	l, err := tls.Listen("tcp", "127.0.0.1:0", server)
 	if err != nil {
@@ -121,29 +122,28 @@
 	is.NoErr(err)
 	client, err := Client(ours.issue(t, dir, "client", 3))
 	is.NoErr(err)
-	_, err = shake(t, server, client)
+	_, err = handshake(t, server, client)
 	is.NoErr(err)
 	stranger, err := Client(Files{Cert: theirs.issue(t, dir, "stranger", 4).Cert, Key: filepath.Join(dir, "stranger-key.pem"), CA: ours.file})
 	is.NoErr(err)
-	_, err = shake(t, server, stranger)
+	_, err = handshake(t, server, stranger)
 	is.True(err != nil)
-	false1, err := Server(theirs.issue(t, dir, "false", 5))
+	impostor, err := Server(theirs.issue(t, dir, "false", 5))
 	is.NoErr(err)
-	_, err = shake(t, false1, client)
+	_, err = handshake(t, impostor, client)
 	is.True(err != nil)
 }
 
-// Symptom: every connection fails when the certificate has expired although a
-// new one lies on the disk.
-// Sequence: a certificate is renewed, once through a half-written file.
-// Cause: certificates read only at the start.
+// A renewed certificate must be used without a restart, also if its file was partly
+// written when it was read. If certificates are read only at the start, every connection
+// fails after the old one has expired.
 func TestRenewedCertificateIsUsedWithoutARestart(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	ca := newAuthority(t, dir, "ca")
 	k := &keypair{files: ca.issue(t, dir, "server", 2)}
 	serial := func() int64 {
-		k.checked = time.Time{} // as after the check interval
+		k.checked = time.Time{} // as if the check interval had passed
 		c, err := k.get()
 		is.NoErr(err)
 		leaf, err := x509.ParseCertificate(c.Certificate[0])
@@ -153,7 +153,7 @@
 	is.Equal(serial(), int64(2))
 	is.NoErr(os.WriteFile(k.files.Cert, []byte("-----BEGIN"), 0o600))
 	is.NoErr(os.Chtimes(k.files.Cert, time.Now().Add(time.Minute), time.Now().Add(time.Minute)))
-	is.Equal(serial(), int64(2)) // the one in use stays
+	is.Equal(serial(), int64(2)) // the certificate in use stays
 	ca.issue(t, dir, "server", 9)
 	is.NoErr(os.Chtimes(k.files.Cert, time.Now().Add(2*time.Minute), time.Now().Add(2*time.Minute)))
 	is.Equal(serial(), int64(9))
