--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -1,7 +1,7 @@
-// Package fake holds small stand-ins of the systems outside: a model engine, a
-// plain service, a weight store, the platform's host list and a TCP relay that
-// can misbehave. They count what really ran, so that tests can compare promises
-// with facts.
+// Package fake provides fakes of external systems for tests: a model engine, a plain
+// service, a weight store, the platform's host list and a TCP relay with network
+// faults. They record what was really executed, so that tests can check guarantees
+// against it.
 package fake
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/cassiapass/cassiapass/internal/core/placement"
 )
 
-// EngineConfig is what an Engine is made from.
+// EngineConfig configures an Engine.
 type EngineConfig struct {
 	Memory       int64
 	HonoursFence bool
@@ -30,33 +30,33 @@
 	TokenEvery   time.Duration
 }
 
-// EngineFaults are switched on by tests. Counts are used up, one per event.
+// EngineFaults are faults that tests inject. A count says how often the fault occurs.
 type EngineFaults struct {
-	CutAfter    int // bytes after which the next answers are cut, while CutAnswers > 0
+	CutAfter    int // bytes after which an answer is cut, while CutAnswers > 0
 	CutAnswers  int
-	HangAnswers int // answers that stop after their first byte without closing
+	HangAnswers int // answers that stall after their first bytes with the connection open
 	CrossedIDs  int // answers that carry another request's id
 	FailLoads   int // loads that are refused
-	LostOrders  int // orders carried out whose answer is lost
+	LostOrders  int // orders that are executed but whose answer is lost
 }
 
-// Engine is a model engine with an OpenAI-style interface, load and unload
+// Engine is a fake model engine with an OpenAI-style interface, load and unload
 // orders, fencing, resume and cancel.
 type Engine struct {
 	cfg EngineConfig
 
-	mu       sync.Mutex
-	faults   EngineFaults
-	floor    ident.Index
-	held     map[ident.Target]*heldModel
-	cached   map[ident.Target]placement.Source
-	requests map[string]*answer
-	runs     map[string]int // real runs by request body
-	attempts map[string]int // real runs by attempt id
-	over     int            // loads that would have exceeded memory
-	peak     int64
-	loads    int
-	hang     chan struct{}
+	mu          sync.Mutex
+	faults      EngineFaults
+	floor       ident.Index
+	held        map[ident.Target]*heldModel
+	cached      map[ident.Target]placement.Source
+	requests    map[string]*answer
+	runs        map[string]int // executions by request body
+	attempts    map[string]int // executions by attempt id
+	overcommits int            // loads refused because they would have exceeded the memory
+	peak        int64
+	loads       int
+	released    chan struct{}
 }
 
 type heldModel struct {
@@ -65,7 +65,7 @@
 	fence   ident.Index
 }
 
-// answer is one request's answer as it is generated.
+// answer is the answer to one request while it is generated.
 type answer struct {
 	mu     sync.Mutex
 	status int
@@ -73,42 +73,42 @@
 	buf    []byte
 	done   bool
 	cancel bool
-	grown  chan struct{}
+	more   chan struct{}
 }
 
-// NewEngine returns an Engine that holds nothing.
+// NewEngine returns an Engine with no models loaded.
 func NewEngine(cfg EngineConfig) *Engine {
 	return &Engine{
 		cfg: cfg, held: map[ident.Target]*heldModel{}, cached: map[ident.Target]placement.Source{}, requests: map[string]*answer{},
-		runs: map[string]int{}, attempts: map[string]int{}, hang: make(chan struct{}),
+		runs: map[string]int{}, attempts: map[string]int{}, released: make(chan struct{}),
 	}
 }
 
-// Inject switches faults on.
+// Inject replaces the injected faults.
 func (e *Engine) Inject(f EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
 }
 
-// Close releases answers that hang.
-func (e *Engine) Close() { close(e.hang) }
+// Close releases stalled answers.
+func (e *Engine) Close() { close(e.released) }
 
-// Cache places a checkpoint near the engine.
+// Cache marks the target's checkpoint as cached at source s, from which it then loads.
 func (e *Engine) Cache(t ident.Target, s placement.Source) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cached[t] = s
 }
 
-// Lose forgets everything loaded, as a restart of the engine would.
-func (e *Engine) Lose() {
+// UnloadAll drops all loaded models, as a restart of the engine would.
+func (e *Engine) UnloadAll() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	clear(e.held)
 }
 
-// Facts is what the engine really did.
+// Facts is what an engine executed and holds.
 type Facts struct {
 	Runs       map[string]int // by request body
 	Attempts   map[string]int // by attempt id
@@ -118,11 +118,11 @@
 	Held       []ident.Target
 }
 
-// Facts returns a copy of what the engine did.
+// Facts returns a snapshot of the engine's counts and loaded models.
 func (e *Engine) Facts() Facts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	f := Facts{Runs: map[string]int{}, Attempts: map[string]int{}, Overcommit: e.over, Peak: e.peak, Loads: e.loads}
+	f := Facts{Runs: map[string]int{}, Attempts: map[string]int{}, Overcommit: e.overcommits, Peak: e.peak, Loads: e.loads}
 	for k, v := range e.runs {
 		f.Runs[k] = v
 	}
@@ -174,7 +174,7 @@
 	defer e.mu.Unlock()
 	if e.cfg.HonoursFence {
 		e.floor = max(e.floor, o.Fence)
-		// Loads under older numbers are given up.
+		// Loads with older fencing tokens are cancelled.
 		for t, h := range e.held {
 			if h.loading && h.fence < e.floor {
 				delete(e.held, t)
@@ -183,8 +183,8 @@
 	}
 }
 
-// load carries out a load order. It takes as long as the checkpoint's source
-// makes it take, whether the caller waits for it or not.
+// load executes a load order. The load takes the time of the checkpoint's source,
+// whether the caller waits for it or not.
 func (e *Engine) load(w http.ResponseWriter, r *http.Request) {
 	o, ok := readOrder(w, r)
 	if !ok {
@@ -207,7 +207,7 @@
 		return
 	}
 	if e.used()+o.Bytes > e.cfg.Memory {
-		e.over++
+		e.overcommits++
 		e.mu.Unlock()
 		http.Error(w, "out of memory", http.StatusInsufficientStorage)
 		return
@@ -236,7 +236,7 @@
 	return sum
 }
 
-// loseAnswer breaks the connection instead of answering if a test asks for it.
+// loseAnswer breaks the connection instead of answering if a test injected LostOrders.
 func (e *Engine) loseAnswer() {
 	e.mu.Lock()
 	lost := e.faults.LostOrders > 0
@@ -299,9 +299,9 @@
 
 const defaultTokens = 8
 
-// Text returns the answer text that any engine gives to a request body: it
-// depends on the body alone, so a test can tell a caller's own answer from
-// another's.
+// Text returns the tokens of the answer that any engine gives to a request body. They
+// depend on the body without its model only, so that a test can tell a caller's own
+// answer from another's.
 func Text(body []byte, tokens int) []string {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(body, &fields) == nil {
@@ -332,11 +332,11 @@
 		b.MaxTokens = defaultTokens
 	}
 	t, err := ident.ParseTarget(b.Model)
-	if err != nil || !e.has(t) {
+	if err != nil || !e.hasLoaded(t) {
 		writeJSON(w, http.StatusNotFound, map[string]string{"error": "model not loaded"})
 		return
 	}
-	a := &answer{status: http.StatusOK, ctype: "application/json", grown: make(chan struct{})}
+	a := &answer{status: http.StatusOK, ctype: "application/json", more: make(chan struct{})}
 	if b.Stream {
 		a.ctype = "text/event-stream"
 	}
@@ -349,7 +349,7 @@
 	e.send(w, r, id, a, 0)
 }
 
-func (e *Engine) has(t ident.Target) bool {
+func (e *Engine) hasLoaded(t ident.Target) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	h := e.held[t]
@@ -365,27 +365,27 @@
 			time.Sleep(e.cfg.TokenEvery)
 		}
 		if b.Stream {
-			a.add(fmt.Sprintf("data: {\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n", tok), false)
+			a.appendText(fmt.Sprintf("data: {\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n", tok), false)
 		}
 		if a.cancelled() {
 			return
 		}
 	}
 	if b.Stream {
-		a.add("data: [DONE]\n\n", true)
+		a.appendText("data: [DONE]\n\n", true)
 		return
 	}
 	text, _ := json.Marshal(strings.Join(tokens, ""))
-	a.add(fmt.Sprintf("{\"object\":\"chat.completion\",\"model\":%q,\"choices\":[{\"index\":0,\"message\":{\"role\":\"assistant\",\"content\":%s},\"finish_reason\":\"stop\"}]}", b.Model, text), true)
+	a.appendText(fmt.Sprintf("{\"object\":\"chat.completion\",\"model\":%q,\"choices\":[{\"index\":0,\"message\":{\"role\":\"assistant\",\"content\":%s},\"finish_reason\":\"stop\"}]}", b.Model, text), true)
 }
 
-func (a *answer) add(s string, done bool) {
+func (a *answer) appendText(s string, done bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.buf = append(a.buf, s...)
 	a.done = done
-	close(a.grown)
-	a.grown = make(chan struct{})
+	close(a.more)
+	a.more = make(chan struct{})
 }
 
 func (a *answer) cancelled() bool {
@@ -394,20 +394,20 @@
 	return a.cancel
 }
 
-// next returns what lies behind offset, whether that is the end, and a channel
+// next returns the bytes from offset on, whether the answer is complete, and a channel
 // that is closed when there is more.
 func (a *answer) next(offset int) ([]byte, bool, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if offset > len(a.buf) {
-		return nil, true, a.grown
+		return nil, true, a.more
 	}
-	return a.buf[offset:], a.done, a.grown
+	return a.buf[offset:], a.done, a.more
 }
 
-// send writes an answer from offset on, with the faults that tests asked for.
+// send writes an answer from offset on, with the injected faults.
 func (e *Engine) send(w http.ResponseWriter, r *http.Request, id string, a *answer, offset int) {
-	cut, hang, crossed := e.takeFaults()
+	cut, hang, crossed := e.nextFaults()
 	if crossed {
 		id = "somebody-else/1"
 	}
@@ -432,7 +432,7 @@
 		}
 		if hang && sent > 0 {
 			select {
-			case <-e.hang:
+			case <-e.released:
 			case <-r.Context().Done():
 			}
 			return
@@ -445,7 +445,7 @@
 	}
 }
 
-func (e *Engine) takeFaults() (cut int, hang, crossed bool) {
+func (e *Engine) nextFaults() (cut int, hang, crossed bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.CutAnswers > 0 {
--- a/internal/fake/outside.go
+++ b/internal/fake/outside.go
@@ -12,37 +12,37 @@
 	"github.com/cassiapass/cassiapass/internal/port"
 )
 
-// Store is a weight store that serves a few loads at full speed and shares its
-// bandwidth among more.
+// Store is a fake weight store. It serves up to Concurrent remote loads at full speed;
+// more loads share that bandwidth.
 type Store struct {
 	Speed      float64 // bytes per second of one load at full speed
 	Concurrent int
-	DiskSpeed  float64
-	MemSpeed   float64
+	DiskSpeed  float64 // bytes per second from disk
+	MemSpeed   float64 // bytes per second from memory
 
-	mu     sync.Mutex
-	active int
-	slow   float64
-	most   int
+	mu        sync.Mutex
+	active    int
+	slowdown  float64
+	maxActive int
 }
 
 // SetSlow makes remote loads take f times as long.
 func (s *Store) SetSlow(f float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = f
+	s.slowdown = f
 }
 
-// MostActive returns the largest number of remote loads at once.
-func (s *Store) MostActive() int {
+// MaxActive returns the highest number of concurrent remote loads so far.
+func (s *Store) MaxActive() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.most
+	return s.maxActive
 }
 
 const storeStep = 5 * time.Millisecond
 
-// Load takes as long as a load of that many bytes from the source.
+// Load blocks for the time of a load of that many bytes from the source.
 func (s *Store) Load(from placement.Source, bytes int64) {
 	switch from {
 	case placement.FromMemory:
@@ -52,21 +52,21 @@
 		time.Sleep(time.Duration(float64(bytes) / s.DiskSpeed * float64(time.Second)))
 		return
 	}
-	s.join(+1)
-	defer s.join(-1)
+	s.addActive(+1)
+	defer s.addActive(-1)
 	for left := float64(bytes); left > 0; left -= s.rate() * storeStep.Seconds() {
 		time.Sleep(storeStep)
 	}
 }
 
-func (s *Store) join(n int) {
+func (s *Store) addActive(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active += n
-	s.most = max(s.most, s.active)
+	s.maxActive = max(s.maxActive, s.active)
 }
 
-// rate returns the present speed of one load.
+// rate returns the current speed of one remote load in bytes per second.
 func (s *Store) rate() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,13 +74,13 @@
 	if s.active > s.Concurrent {
 		r *= float64(s.Concurrent) / float64(s.active)
 	}
-	if s.slow > 1 {
-		r /= s.slow
+	if s.slowdown > 1 {
+		r /= s.slowdown
 	}
 	return r
 }
 
-// HostList is the platform's list of hosts.
+// HostList is a fake of the platform's list of hosts.
 type HostList struct {
 	mu    sync.Mutex
 	hosts map[ident.HostID]port.HostState
@@ -89,14 +89,14 @@
 // NewHostList returns an empty list.
 func NewHostList() *HostList { return &HostList{hosts: map[ident.HostID]port.HostState{}} }
 
-// Set lists a host.
+// Set adds a host to the list or changes its state.
 func (l *HostList) Set(h ident.HostID, s port.HostState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hosts[h] = s
 }
 
-// Remove takes a host off the list.
+// Remove removes a host from the list.
 func (l *HostList) Remove(h ident.HostID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -114,28 +114,28 @@
 	writeJSON(w, http.StatusOK, out)
 }
 
-// Plain is a plain service that files what is posted to it.
+// Plain is a fake plain service that counts the bodies posted to it.
 type Plain struct {
-	Delay time.Duration
-	mu    sync.Mutex
-	filed map[string]int
+	Delay  time.Duration
+	mu     sync.Mutex
+	bodies map[string]int
 }
 
-// NewPlain returns a Plain that has filed nothing.
-func NewPlain() *Plain { return &Plain{filed: map[string]int{}} }
+// NewPlain returns a Plain with no requests counted.
+func NewPlain() *Plain { return &Plain{bodies: map[string]int{}} }
 
-// Filed returns how often each body was filed.
+// Filed returns how often each body was posted.
 func (p *Plain) Filed() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make(map[string]int, len(p.filed))
-	for k, v := range p.filed {
+	out := make(map[string]int, len(p.bodies))
+	for k, v := range p.bodies {
 		out[k] = v
 	}
 	return out
 }
 
-// ServeHTTP files a POST and answers any other method with the path.
+// ServeHTTP counts the body of a POST and answers any other method with the path.
 func (p *Plain) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 	if r.Method == http.MethodDelete || r.URL.Path == "/v1/requests" {
@@ -151,8 +151,8 @@
 		return
 	}
 	p.mu.Lock()
-	p.filed[string(body)]++
-	n := len(p.filed)
+	p.bodies[string(body)]++
+	n := len(p.bodies)
 	p.mu.Unlock()
 	time.Sleep(p.Delay)
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -7,56 +7,56 @@
 	"time"
 )
 
-// Relay passes TCP connections on to a target and can misbehave like something
-// between two hosts: connections that are open go silent while new ones work,
-// everything goes silent, or everything is cut.
+// Relay forwards TCP connections to a target and injects faults of a network path:
+// open connections go silent while new ones work, all connections go silent, replies
+// are lost, or all connections are closed or reset. It also adds delay and limits rate.
 type Relay struct {
-	target string
-	l      net.Listener
+	target   string
+	listener net.Listener
 
-	deaf  atomic.Bool  // nothing passes, old or new, both ways
-	mute  atomic.Bool  // nothing passes back from the target
-	delay atomic.Int64 // nanoseconds added to every piece
-	link  atomic.Pointer[Link]
-	mu    sync.Mutex
-	pairs map[*pair]struct{}
+	dropAll     atomic.Bool  // drop all data, both ways, on open and new connections
+	dropReplies atomic.Bool  // drop all data from the target
+	delay       atomic.Int64 // nanoseconds added to every chunk
+	link        atomic.Pointer[Link]
+	mu          sync.Mutex
+	pairs       map[*pair]struct{}
 }
 
 // pair is one relayed connection.
 type pair struct {
-	a, b   net.Conn
-	silent atomic.Bool
+	client, upstream net.Conn
+	silent           atomic.Bool
 }
 
 const (
-	piece = 32 << 10 // bytes passed on at a time
-	// linkPiece is that on a Link: a connection waits for at most one such piece of
-	// each other one before it has its turn.
-	linkPiece = 16 << 10
-	// linkWindow bounds what each socket before or behind a Link buffers in the kernel.
+	chunkSize = 32 << 10 // bytes forwarded at a time
+	// linkChunkSize is the number of bytes forwarded at a time on a Link: before its
+	// turn a connection waits for at most one such chunk of each other connection.
+	linkChunkSize = 16 << 10
+	// linkWindow bounds the kernel's buffers of each socket on both sides of a Link.
 	linkWindow = 64 << 10
 )
 
-// Link is a line of limited rate. The connections of all relays that share it have
-// turns in the order in which their pieces arrive.
+// Link is a shared link of limited rate. The connections of all relays that use it
+// send in the order in which their chunks arrive.
 type Link struct {
-	rate float64 // bytes per second
-	mu   sync.Mutex
-	free time.Time // when all that is booked has passed
+	rate      float64 // bytes per second
+	mu        sync.Mutex
+	busyUntil time.Time // when all reserved bytes have passed
 }
 
-// NewLink returns a Link that nothing waits for.
+// NewLink returns an idle Link.
 func NewLink(bytesPerSecond float64) *Link { return &Link{rate: bytesPerSecond} }
 
-// pass books n bytes behind all that is booked already and returns when they have
+// pass reserves n bytes after all earlier reservations and blocks until they have
 // passed.
 func (l *Link) pass(n int) {
 	l.mu.Lock()
-	if now := time.Now(); l.free.Before(now) {
-		l.free = now
+	if now := time.Now(); l.busyUntil.Before(now) {
+		l.busyUntil = now
 	}
-	l.free = l.free.Add(time.Duration(float64(n) / l.rate * float64(time.Second)))
-	end := l.free
+	l.busyUntil = l.busyUntil.Add(time.Duration(float64(n) / l.rate * float64(time.Second)))
+	end := l.busyUntil
 	l.mu.Unlock()
 	time.Sleep(time.Until(end))
 }
@@ -64,46 +64,46 @@
 // NewRelay starts a Relay to target on a free loopback port.
 func NewRelay(target string) (*Relay, error) { return NewRelayAt("127.0.0.1:0", target) }
 
-// NewRelayAt starts a Relay to target at an address.
+// NewRelayAt starts a Relay to target that listens on addr.
 func NewRelayAt(addr, target string) (*Relay, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{target: target, l: l, pairs: map[*pair]struct{}{}}
+	r := &Relay{target: target, listener: l, pairs: map[*pair]struct{}{}}
 	go r.accept()
 	return r, nil
 }
 
 // Addr returns the address to connect to.
-func (r *Relay) Addr() string { return r.l.Addr().String() }
+func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// SetTarget changes where new connections lead.
+// SetTarget changes the target of new connections.
 func (r *Relay) SetTarget(t string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.target = t
 }
 
-// SetDeaf makes everything silent, or lets it pass again. Connections that were
-// silenced stay so.
+// SetDeaf makes all connections silent, or ends that. Connections that were silenced
+// stay silent.
 func (r *Relay) SetDeaf(on bool) {
-	r.deaf.Store(on)
+	r.dropAll.Store(on)
 	if on {
 		r.SilenceOpen()
 	}
 }
 
-// SetMute makes the target's side silent while what is sent to it arrives, or ends
-// that: a path that is cut one way.
-func (r *Relay) SetMute(on bool) { r.mute.Store(on) }
+// SetMute drops the data from the target while data to it still arrives, or ends that.
+// It simulates a path that fails in one direction.
+func (r *Relay) SetMute(on bool) { r.dropReplies.Store(on) }
 
-// Reset ends the open connections with a reset.
+// Reset closes the open connections with a TCP reset.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p := range r.pairs {
-		for _, c := range []net.Conn{p.a, p.b} {
+		for _, c := range []net.Conn{p.client, p.upstream} {
 			if t, ok := c.(*net.TCPConn); ok {
 				_ = t.SetLinger(0)
 			}
@@ -112,14 +112,13 @@
 	}
 }
 
-// SetDelay delays every piece.
+// SetDelay delays every chunk by d.
 func (r *Relay) SetDelay(d time.Duration) { r.delay.Store(int64(d)) }
 
-// SetLink makes connections that are opened from now on share a Link, both ways;
-// nil is no limit.
+// SetLink makes new connections share a Link in both directions; nil means no limit.
 func (r *Relay) SetLink(l *Link) { r.link.Store(l) }
 
-// SilenceOpen makes the open connections silent for good; new ones work.
+// SilenceOpen makes the open connections silent permanently; new ones work.
 func (r *Relay) SilenceOpen() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,57 +136,57 @@
 	}
 }
 
-// Close stops the relay.
+// Close stops the relay and closes its connections.
 func (r *Relay) Close() {
-	_ = r.l.Close()
+	_ = r.listener.Close()
 	r.Cut()
 }
 
 func (p *pair) close() {
-	_ = p.a.Close()
-	if p.b != nil {
-		_ = p.b.Close()
+	_ = p.client.Close()
+	if p.upstream != nil {
+		_ = p.upstream.Close()
 	}
 }
 
 func (r *Relay) accept() {
 	for {
-		a, err := r.l.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.serve(a)
+		go r.serve(client)
 	}
 }
 
-func (r *Relay) serve(a net.Conn) {
-	p := &pair{a: a}
-	if r.deaf.Load() {
+func (r *Relay) serve(client net.Conn) {
+	p := &pair{client: client}
+	if r.dropAll.Load() {
 		p.silent.Store(true)
 	}
 	r.mu.Lock()
 	target := r.target
 	r.mu.Unlock()
-	b, err := net.Dial("tcp", target)
+	upstream, err := net.Dial("tcp", target)
 	if err != nil {
-		_ = a.Close()
+		_ = client.Close()
 		return
 	}
-	p.b = b
+	p.upstream = upstream
 	link := r.link.Load()
 	if link != nil {
-		narrow(a)
-		narrow(b)
+		limitBuffers(client)
+		limitBuffers(upstream)
 	}
 	r.mu.Lock()
 	r.pairs[p] = struct{}{}
 	r.mu.Unlock()
 	done := make(chan struct{}, 2)
-	go r.copy(p, link, a, b, func() bool { return false }, done)
-	go r.copy(p, link, b, a, r.mute.Load, done)
+	go r.copy(p, link, client, upstream, func() bool { return false }, done)
+	go r.copy(p, link, upstream, client, r.dropReplies.Load, done)
 	<-done
 	if p.silent.Load() {
-		// The other end is not told either: it waits in silence.
+		// The other end must not see the close: its connection stays silent.
 		<-done
 	}
 	p.close()
@@ -196,21 +195,22 @@
 	r.mu.Unlock()
 }
 
-// narrow bounds what a socket buffers. With the kernel's own bounds most of a large
-// message would leave its sender at once, and the Link would delay nobody.
-func narrow(c net.Conn) {
+// limitBuffers bounds the buffers of a socket. With the kernel's own bounds a sender
+// could write most of a large message at once, and the Link would not delay it.
+func limitBuffers(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetReadBuffer(linkWindow)
 		_ = t.SetWriteBuffer(linkWindow)
 	}
 }
 
-// copy passes bytes on until one side ends; cut tells whether this way is cut now.
-func (r *Relay) copy(p *pair, link *Link, from, to net.Conn, cut func() bool, done chan<- struct{}) {
+// copy forwards bytes until one side ends. drop reports whether this direction is cut
+// at present.
+func (r *Relay) copy(p *pair, link *Link, from, to net.Conn, drop func() bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
-	buf := make([]byte, piece)
+	buf := make([]byte, chunkSize)
 	if link != nil {
-		buf = buf[:linkPiece]
+		buf = buf[:linkChunkSize]
 	}
 	for {
 		n, err := from.Read(buf)
@@ -220,10 +220,10 @@
 		if d := r.delay.Load(); d > 0 {
 			time.Sleep(time.Duration(d))
 		}
-		if n > 0 && cut() {
-			p.silent.Store(true) // what was lost leaves a gap: nothing may follow
+		if n > 0 && drop() {
+			p.silent.Store(true) // dropped data leaves a gap, so that nothing may follow it
 		}
-		if n > 0 && !p.silent.Load() && !r.deaf.Load() {
+		if n > 0 && !p.silent.Load() && !r.dropAll.Load() {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				return
 			}
