--- a/internal/app/control/contacts.go
+++ b/internal/app/control/contacts.go
@@ -14,105 +14,105 @@
 )
 
 const (
-	// greetLook is the time between looks at who is due to be greeted.
-	greetLook    = 250 * time.Millisecond
-	greetTimeout = 400 * time.Millisecond
-	// leaderless is how long a member goes without a leader before it counts as lost
-	// and asks to join: it may have been removed while it was away, and nobody tells it.
-	leaderless = 2 * time.Second
-	// silentAfter is how long a leader does not hear a member before it looks who is
-	// at that address now: two heartbeats to a member without a vote.
-	silentAfter = 1200 * time.Millisecond
-	// hintHolds is how long the address of a leader that somebody told is passed on to
-	// entries by a host that hears no leader itself.
-	hintHolds = 3 * time.Second
-	// saveContacts is the least time between two writes of the addresses.
-	saveContacts = 2 * time.Second
+	// greetInterval is the time between checks for hosts that are due to be greeted.
+	greetInterval = 250 * time.Millisecond
+	greetTimeout  = 400 * time.Millisecond
+	// maxLeaderless is how long a member goes without a leader before it counts as lost
+	// and asks to join: it may have been removed while it was down, and no host notifies it.
+	maxLeaderless = 2 * time.Second
+	// silenceLimit is how long a member is silent before the leader greets its address to find
+	// out which host is there now: longer than two heartbeats to a member without a vote.
+	silenceLimit = 1200 * time.Millisecond
+	// hintTTL is how long a host without a leader passes on to entries the leader's address
+	// that it received from another host.
+	hintTTL = 3 * time.Second
+	// contactSaveInterval is the minimum time between two writes of the addresses.
+	contactSaveInterval = 2 * time.Second
 )
 
-// contacts is this host's book of addresses. It is safe for concurrent use.
+// contacts is this host's address book of control hosts. It is safe for concurrent use.
 type contacts struct {
-	mu     sync.Mutex
-	book   *contact.Book
-	leader string // address of the leader, as another host told last
-	told   time.Time
+	mu           sync.Mutex
+	book         *contact.Book
+	hintedLeader string // address of the leader, as another host last reported
+	hintedAt     time.Time
 }
 
-func (k *contacts) with(f func(b *contact.Book)) {
+func (k *contacts) withBook(f func(b *contact.Book)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	f(k.book)
 }
 
-// addrOf returns where an identity was met.
+// addrOf returns the address at which a host with this identity was last contacted.
 func (k *contacts) addrOf(id consensus.NodeID) (string, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.book.AddrOf(id)
 }
 
-// hint returns the address of a leader of which was told lately, or "".
-func (k *contacts) hint(now time.Time) string {
+// leaderHint returns the leader's address if another host reported it within hintTTL, or "".
+func (k *contacts) leaderHint(now time.Time) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if now.Sub(k.told) > hintHolds {
+	if now.Sub(k.hintedAt) > hintTTL {
 		return ""
 	}
-	return k.leader
+	return k.hintedLeader
 }
 
-// keptContacts returns the addresses in the data folder.
-func (cfg Config) keptContacts() []string {
+// loadContacts returns the addresses saved in the data folder.
+func (cfg Config) loadContacts() []string {
 	if cfg.Seeds.Volatile || !cfg.Seeds.used() {
 		return nil
 	}
 	addrs, err := disklog.Contacts(cfg.DataDir)
 	if err != nil {
-		// The seeds remain, and whoever greets this host.
+		// The seeds remain, and the hosts that greet this one.
 		cfg.Log.Warn().Err(err).Msg("contacts_not_read")
 	}
 	return addrs
 }
 
-// SetSeeds replaces the addresses that the settings name.
+// SetSeeds replaces the seed addresses of the settings.
 func (c *Control) SetSeeds(addrs []string) {
-	c.contacts.with(func(b *contact.Book) { b.SetSeeds(addrs) })
+	c.contacts.withBook(func(b *contact.Book) { b.SetSeeds(addrs) })
 }
 
-// standing is what this host is to its group at one moment.
+// standing is this host's relation to its group at one moment.
 type standing struct {
 	contact.Standing
 	membership consensus.Membership
-	silent     []consensus.NodeID // members that a leader does not hear
+	silent     []consensus.NodeID // silent members, as seen by the leader
 }
 
-// standing tells what this host is to its group. lastLed is when it last was a
-// member that heard a leader.
-func (c *Control) standing(now, lastLed time.Time) standing {
+// currentStanding returns this host's relation to its group. leaderSeen is when it was
+// last a member with a leader.
+func (c *Control) currentStanding(now, leaderSeen time.Time) standing {
 	var s standing
-	_ = c.loop.with(func() {
+	_ = c.loop.do(func() {
 		st := c.loop.node.Status()
 		s.membership = st.Membership
 		_, member := st.Membership.Find(c.id)
 		switch {
-		case !member || st.Leader == consensus.None && now.Sub(lastLed) >= leaderless:
+		case !member || st.Leader == consensus.None && now.Sub(leaderSeen) >= maxLeaderless:
 			return // lost
 		case st.Leader != c.id || c.loop.roster == nil:
 			s.Standing = contact.Follows
 		default:
 			s.Standing = contact.Leads
-			s.silent = c.loop.roster.Silent(now, silentAfter, st)
+			s.silent = c.loop.roster.Silent(now, silenceLimit, st)
 		}
 	})
 	return s
 }
 
-// keepInTouch greets other hosts, and asks to be a member whenever this host is none
-// or may have been removed while it was away.
-func (c *Control) keepInTouch(ctx context.Context) {
-	t := time.NewTicker(greetLook)
+// greetHosts greets other hosts, and asks to join while this host is not a member
+// or may have been removed while it was down.
+func (c *Control) greetHosts(ctx context.Context) {
+	t := time.NewTicker(greetInterval)
 	defer t.Stop()
-	lastLed := time.Now()
+	leaderSeen := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -120,12 +120,12 @@
 		case <-t.C:
 		}
 		now := time.Now()
-		s := c.standing(now, lastLed)
+		s := c.currentStanding(now, leaderSeen)
 		if c.leader() != consensus.None && s.Standing != contact.Lost {
-			lastLed = now
+			leaderSeen = now
 		}
 		var due []string
-		c.contacts.with(func(b *contact.Book) {
+		c.contacts.withBook(func(b *contact.Book) {
 			b.SetMembers(s.membership)
 			due = b.Greet(now, s.Standing, s.silent)
 		})
@@ -135,15 +135,15 @@
 	}
 }
 
-// greeting is what this host tells of itself.
+// greeting returns what this host reports about itself and the hosts that it knows.
 func (c *Control) greeting(now time.Time, s contact.Standing) wire.Greeting {
-	g := wire.Greeting{Group: c.cfg.Group, ID: c.id, Addr: c.Addr(), Leader: c.leaderHeard()}
-	c.contacts.with(func(b *contact.Book) { g.Known = b.Tell(now, s) })
+	g := wire.Greeting{Group: c.cfg.Group, ID: c.id, Addr: c.Addr(), Leader: c.currentLeaderAddr()}
+	c.contacts.withBook(func(b *contact.Book) { g.Known = b.Tell(now, s) })
 	return g
 }
 
-// greet tells one host of this one, learns what it knows, and asks it to pass a
-// request to join on to the leader if it hears one.
+// greet sends this host's greeting to one host and applies the answer. A lost host also asks
+// it to forward a request to join, if it has a leader.
 func (c *Control) greet(ctx context.Context, addr string, s contact.Standing) {
 	ctx, cancel := context.WithTimeout(ctx, greetTimeout)
 	defer cancel()
@@ -158,7 +158,7 @@
 		c.cfg.Log.Debug().Str("address", addr).Err(err).Msg("greeting_not_answered")
 		return
 	}
-	c.meet(res)
+	c.applyGreeting(res)
 	if s != contact.Lost || res.Leader == "" {
 		return
 	}
@@ -170,8 +170,9 @@
 	c.cfg.Log.Info().Str("address", addr).Err(err).Msg("join_asked")
 }
 
-// meet takes in what another host told. A host of another group is no contact.
-func (c *Control) meet(g wire.Greeting) {
+// applyGreeting records the addresses that another host sent. A host of another group is
+// ignored.
+func (c *Control) applyGreeting(g wire.Greeting) {
 	if g.Group != c.cfg.Group {
 		c.cfg.Log.Warn().Str("address", g.Addr).Str("group", string(g.Group)).Msg("greeted_by_another_group")
 		return
@@ -182,17 +183,17 @@
 	c.contacts.book.Met(now, contact.Contact{ID: g.ID, Addr: g.Addr})
 	c.contacts.book.Told(now, g.Known)
 	if g.Leader != "" {
-		c.contacts.leader, c.contacts.told = g.Leader, now
+		c.contacts.hintedLeader, c.contacts.hintedAt = g.Leader, now
 	}
 }
 
-// onGreet takes in another host's greeting and answers it.
+// onGreet applies another host's greeting and answers it.
 func (c *Control) onGreet(raw json.RawMessage) (any, error) {
 	g, err := decode[wire.Greeting](raw)
 	if err != nil {
 		return nil, err
 	}
-	c.meet(g)
+	c.applyGreeting(g)
 	s := contact.Follows
 	if c.leader() == consensus.None {
 		s = contact.Lost
@@ -200,11 +201,10 @@
 	return c.greeting(time.Now(), s), nil
 }
 
-// keepContacts writes the addresses to the data folder when they have changed. A disk
-// that is stalled, slow or full holds nothing else up, and what cannot be written is
-// tried again.
-func (c *Control) keepContacts(ctx context.Context, saved []string) {
-	t := time.NewTicker(saveContacts)
+// saveContacts writes the addresses to the data folder when they have changed. A disk
+// that is stalled, slow or full delays nothing else, and a failed write is retried.
+func (c *Control) saveContacts(ctx context.Context, saved []string) {
+	t := time.NewTicker(contactSaveInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -213,7 +213,7 @@
 		case <-t.C:
 		}
 		var addrs []string
-		c.contacts.with(func(b *contact.Book) { addrs = b.Kept() })
+		c.contacts.withBook(func(b *contact.Book) { addrs = b.Kept() })
 		if slices.Equal(addrs, saved) {
 			continue
 		}
@@ -225,8 +225,8 @@
 	}
 }
 
-// leaderHeard returns the address of the leader that this host hears or is, or "".
-func (c *Control) leaderHeard() string {
+// currentLeaderAddr returns the address of the leader that this host follows or is, or "".
+func (c *Control) currentLeaderAddr() string {
 	lead := c.leader()
 	switch lead {
 	case consensus.None:
@@ -241,20 +241,21 @@
 	return m.Addr
 }
 
-// LeaderAddr returns the address of the leader, as far as this host knows, or "".
+// LeaderAddr returns the leader's address, known from this host's own state or reported by
+// another host, or "".
 func (c *Control) LeaderAddr() string {
-	if addr := c.leaderHeard(); addr != "" {
+	if addr := c.currentLeaderAddr(); addr != "" {
 		return addr
 	}
-	return c.contacts.hint(time.Now())
+	return c.contacts.leaderHint(time.Now())
 }
 
-// Members returns the addresses at which the group may be found: its members, and
-// while no leader is heard every address that this host knows.
+// Members returns the addresses at which the group may be found: its members, or,
+// while there is no leader, every address that this host knows.
 func (c *Control) Members() []string {
 	if c.leader() == consensus.None {
 		var out []string
-		c.contacts.with(func(b *contact.Book) { out = b.All() })
+		c.contacts.withBook(func(b *contact.Book) { out = b.All() })
 		return append(out, c.Addr())
 	}
 	var out []string
--- a/internal/app/control/contacts_test.go
+++ b/internal/app/control/contacts_test.go
@@ -7,101 +7,98 @@
 	"github.com/matryer/is"
 )
 
-// foundWithin bounds how long a restarted group takes until every host is back: an
+// recoveryLimit bounds the time until every host of a restarted group is back: an
 // election, a greeting, a request to join and one membership change for each host
 // that has lost its identity.
-const foundWithin = 8 * time.Second
+const recoveryLimit = 8 * time.Second
 
-// darken takes power from all hosts and gives it back.
-func (s *site) darken() {
-	for i := range s.hosts {
-		s.kill(i)
+// restartAll kills all hosts, as a power failure would, and then restarts them.
+func (g *testGroup) restartAll() {
+	for i := range g.hosts {
+		g.kill(i)
 	}
-	for i := range s.hosts {
-		s.start(i, false)
+	for i := range g.hosts {
+		g.start(i, false)
 	}
 }
 
-// Symptom: after all hosts lost power no request is served again, though every disk
-// and every process is back.
-// Sequence: the seeds are exchanged for hosts that hold the log in memory; then all
-// lose power, twice; between the two, one disk is lost.
-// Cause: hosts with disks know those without and lead; the seeds know only each
-// other, and whoever has to ask asks them.
+// Guards against a group that never recovers after a power failure of all hosts, although
+// every disk and process is back. The seeds are replaced by hosts that hold the log in
+// memory, then all hosts fail twice, with one disk lost in between. Hosts with disks know
+// the others and lead, but the seeds know only each other, and the hosts that have to join
+// ask only the seeds.
 func TestSeedsWithoutADiskAreFoundAfterAllLostPower(t *testing.T) {
-	s := newSite(t, 6, 3, 4, 5)
-	s.eventually("formed", func() bool { return s.settled(6) })
-	s.deploy(0, 1)
-	s.seeds = s.addrs[3:]
-	for i, c := range s.hosts {
-		c.SetSeeds(s.seeds)
-		s.deploy(i, uint64(i+2))
+	g := newGroup(t, 6, 3, 4, 5)
+	g.eventually("formed", func() bool { return g.complete(6) })
+	g.deploy(0, 1)
+	g.seeds = g.addrs[3:]
+	for i, c := range g.hosts {
+		c.SetSeeds(g.seeds)
+		g.deploy(i, uint64(i+2))
 	}
 	for round := range uint64(2) {
-		s.darken()
+		g.restartAll()
 		begin := time.Now()
-		for i := range s.hosts {
-			s.eventually("every host serves what was decided", func() bool { return s.version(i) == 7+round })
+		for i := range g.hosts {
+			g.eventually("every host serves what was decided", func() bool { return g.version(i) == 7+round })
 		}
-		if took := time.Since(begin); took > foundWithin {
+		if took := time.Since(begin); took > recoveryLimit {
 			t.Fatalf("the group was whole again after %v", took)
 		}
-		s.eventually("whole", func() bool { return s.settled(6) })
-		s.wipe(1)
-		s.eventually("whole after a disk was lost", func() bool { return s.settled(6) })
-		s.deploy(3, 8+round)
+		g.eventually("whole", func() bool { return g.complete(6) })
+		g.restartEmpty(1)
+		g.eventually("whole after a disk was lost", func() bool { return g.complete(6) })
+		g.deploy(3, 8+round)
 	}
 }
 
-// Symptom: hosts never elect a leader again, though all of them have their disks.
-// Sequence: all lose power and come back at other addresses; the settings name the new
-// ones.
-// Cause: messages go where the log says, and only a leader can change the log.
-func TestAddressesChangeWhileAllAreDark(t *testing.T) {
+// Guards against hosts that never elect a leader although all disks are intact: all go down
+// and restart at other addresses, which the settings name. Messages would go to the addresses
+// in the log, and only a leader can change the log.
+func TestAddressesChangeWhileAllAreDown(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, 4)
-	s.eventually("formed", func() bool { return s.settled(4) })
-	s.deploy(0, 3)
-	ids := s.identities()
-	for i := range s.hosts {
-		s.kill(i)
+	g := newGroup(t, 4)
+	g.eventually("formed", func() bool { return g.complete(4) })
+	g.deploy(0, 3)
+	ids := g.identities()
+	for i := range g.hosts {
+		g.kill(i)
 	}
-	s.addrs = freeAddrs(t, 4)
-	s.seeds = s.addrs[:3]
-	for i := range s.hosts {
-		s.start(i, false)
+	g.addrs = freeAddrs(t, 4)
+	g.seeds = g.addrs[:3]
+	for i := range g.hosts {
+		g.start(i, false)
 	}
-	s.eventually("read back", func() bool { return s.version(3) == 3 })
-	s.eventually("the log names the new addresses", func() bool { return s.settled(4) && s.logged(s.addrs) })
-	is.Equal(s.identities(), ids) // nobody was taken for a new host
+	g.eventually("read back", func() bool { return g.version(3) == 3 })
+	g.eventually("the log names the new addresses", func() bool { return g.complete(4) && g.logged(g.addrs) })
+	is.Equal(g.identities(), ids) // no host was taken for a new one
 }
 
-// Symptom: a host that lost its seeds finds nobody.
-// Sequence: a host with a disk that was no founder restarts; its settings name only
-// itself, and the others' settings do not name it.
-// Cause: what it knew of others was in its memory.
+// Guards against a host without seeds that finds no other host: a host with a disk that is
+// not a founder restarts; its settings name only itself, and the settings of the others do
+// not name it. The fault is to keep known addresses only in memory.
 func TestHostWithoutSeedsIsFoundByTheOthers(t *testing.T) {
-	s := newSite(t, 4)
-	s.eventually("formed", func() bool { return s.settled(4) })
-	s.kill(3)
-	s.eventually("forgotten", func() bool { return s.settled(3) })
-	s.seeds = s.addrs[3:]
-	s.start(3, false)
-	s.eventually("found", func() bool { return s.settled(4) })
+	g := newGroup(t, 4)
+	g.eventually("formed", func() bool { return g.complete(4) })
+	g.kill(3)
+	g.eventually("forgotten", func() bool { return g.complete(3) })
+	g.seeds = g.addrs[3:]
+	g.start(3, false)
+	g.eventually("found", func() bool { return g.complete(4) })
 }
 
-// identities returns who runs on the hosts.
-func (s *site) identities() map[uint64]bool {
+// identities returns the identities of the running hosts.
+func (g *testGroup) identities() map[uint64]bool {
 	out := map[uint64]bool{}
-	for _, c := range s.hosts {
+	for _, c := range g.hosts {
 		out[uint64(c.ID())] = true
 	}
 	return out
 }
 
-// logged reports whether every host's log names just these addresses.
-func (s *site) logged(addrs []string) bool {
-	for _, c := range s.hosts {
+// logged reports whether every member address in every host's log is one of addrs.
+func (g *testGroup) logged(addrs []string) bool {
+	for _, c := range g.hosts {
 		for _, m := range c.Status().Membership.Members {
 			known := false
 			for _, a := range addrs {
@@ -115,15 +112,15 @@
 	return true
 }
 
-// BenchmarkLeadAfterKillOfAll tells how long after a kill of all processes a leader
-// leads again: 0.51 s with the usual election timeout from the start on, 0.19 s so.
+// BenchmarkLeadAfterKillOfAll measures the time from a kill of all processes until a leader
+// leads again: 0.51 s with electionTicks from the start, 0.19 s with startTicks.
 func BenchmarkLeadAfterKillOfAll(b *testing.B) {
-	s := newSite(b, 4)
-	s.eventually("formed", func() bool { return s.settled(4) })
+	g := newGroup(b, 4)
+	g.eventually("formed", func() bool { return g.complete(4) })
 	for b.Loop() {
-		s.darken()
-		s.eventually("led", func() bool {
-			for _, c := range s.hosts {
+		g.restartAll()
+		g.eventually("led", func() bool {
+			for _, c := range g.hosts {
 				if c.Lead().Leading {
 					return true
 				}
--- a/internal/app/control/control.go
+++ b/internal/app/control/control.go
@@ -24,18 +24,17 @@
 	"github.com/cassiapass/cassiapass/internal/wire"
 )
 
-// Config is what a control host is made from.
+// Config holds the settings of a control host.
 type Config struct {
 	Host      ident.HostID
 	Group     ident.Group
 	Listen    string // address for the system's own processes
 	Advertise string // address under which other processes reach Listen; Listen's own if empty
-	DataDir   string // unused where Seeds.Volatile
-	// WrapDisk, if set, returns what stands before the log on disk: one that is
-	// slow, stalls or fails.
+	DataDir   string // unused if Seeds.Volatile
+	// WrapDisk, if set, wraps the log on disk, to make it slow, stall or fail.
 	WrapDisk func(port.Disk) port.Disk
 	// Bootstrap starts a new group with this host as its only voter when the
-	// data folder is empty. Without it an empty host waits to be added.
+	// data folder is empty. Without it, a host with an empty folder waits to be added.
 	Bootstrap bool
 	Security  rpc.Security
 	Placement placement.Config
@@ -43,20 +42,20 @@
 	HostList  port.HostList // nil if the platform has none
 	HostEvery time.Duration
 	Log       zerolog.Logger
-	// Metrics is the set that this host adds its own to; nil for a new one.
+	// Metrics is the set to which this host adds its metrics; nil for a new one.
 	Metrics *vm.Set
-	// Seeds lets the group form and keep itself whole without an operator.
+	// Seeds lets the group form and maintain its membership without an operator.
 	Seeds Seeds
-	// Methods answers calls that another part of the process offers to the
+	// Methods handles calls that another part of the process offers to the
 	// system's own processes; nil if there is none.
 	Methods func(ctx context.Context, method string, params json.RawMessage) (any, error)
-	// OnDeploy is called in order with every deployment that comes into force
-	// here; it must not block.
-	OnDeploy func(state.Deployment)
-	// OnPoison is called in order with every change of the quarantined requests here; it
+	// OnDeploy is called in order with every deployment that this host applies; it
 	// must not block.
+	OnDeploy func(state.Deployment)
+	// OnPoison is called in order with every change of the quarantined requests that this
+	// host applies; it must not block.
 	OnPoison func(poison.Registry)
-	// Fatal is called once when the process must stop: a broken disk.
+	// Fatal is called once when the process must stop, for example after a disk failure.
 	Fatal func(error)
 }
 
@@ -72,27 +71,27 @@
 	met    *metrics
 	disk   port.Disk
 	cancel context.CancelFunc
-	// started is closed when the loop runs. Peers that know this host's address
-	// send as soon as it listens, which is before.
+	// started is closed when the loop runs. Peers that know this host's address may
+	// send messages earlier, as soon as it listens.
 	started  chan struct{}
 	contacts contacts
 }
 
-// openLog opens the data folder, if this host has one.
+// openLog opens the log in the data folder, or a volatile one on a host without a disk.
 func (cfg Config) openLog() (port.Disk, *disklog.Restored, error) {
 	if cfg.Seeds.Volatile {
-		return memory{}, &disklog.Restored{Identity: cfg.freshIdentity()}, nil
+		return volatileDisk{}, &disklog.Restored{Identity: cfg.freshIdentity()}, nil
 	}
 	disk, res, err := disklog.Open(cfg.DataDir, cfg.freshIdentity)
 	if errors.Is(err, disklog.ErrDamaged) && cfg.Seeds.used() {
-		disk, res, err = cfg.startOver(err)
+		disk, res, err = cfg.recreateDataFolder(err)
 	}
 	return disk, res, err
 }
 
 // New opens the data folder and starts the control host.
 func New(cfg Config) (*Control, error) {
-	kept := cfg.keptContacts()
+	savedContacts := cfg.loadContacts()
 	disk, res, err := cfg.openLog()
 	if err != nil {
 		return nil, err
@@ -102,14 +101,14 @@
 		return nil, oops.Errorf("data folder %s belongs to group %q, not %q", cfg.DataDir, res.Identity.Group, cfg.Group)
 	}
 	c := &Control{cfg: cfg, id: res.Identity.Node, count: &rpc.Counter{}, disk: disk, started: make(chan struct{})}
-	if err := c.start(res, kept); err != nil {
+	if err := c.start(res, savedContacts); err != nil {
 		_ = disk.Close()
 		return nil, err
 	}
 	return c, nil
 }
 
-func (c *Control) start(res *disklog.Restored, kept []string) error {
+func (c *Control) start(res *disklog.Restored, savedContacts []string) error {
 	st, err := state.Decode(res.Snapshot.Data)
 	if err != nil {
 		return err
@@ -121,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	c.contacts.book = contact.New(time.Now(), contact.Contact{ID: c.id, Addr: c.Addr()}, c.cfg.Seeds.Addrs, kept)
+	c.contacts.book = contact.New(time.Now(), contact.Contact{ID: c.id, Addr: c.Addr()}, c.cfg.Seeds.Addrs, savedContacts)
 	if err := c.bootstrap(res); err != nil {
 		c.srv.Close()
 		return err
@@ -131,18 +130,18 @@
 		disk = c.cfg.WrapDisk(disk)
 	}
 	c.loop = &loop{
-		id: c.id, addr: c.Addr(), metAt: c.contacts.addrOf, log: c.cfg.Log, st: st, disk: disk, send: c.sendAndFollow, hub: c.hub, met: c.met, fatal: c.cfg.Fatal, group: c.cfg.Group, begun: time.Now(),
+		id: c.id, addr: c.Addr(), contactAddr: c.contacts.addrOf, log: c.cfg.Log, st: st, disk: disk, send: c.sendToPeers, hub: c.hub, met: c.met, fatal: c.cfg.Fatal, group: c.cfg.Group, startedAt: time.Now(),
 		duties: &duties{log: c.cfg.Log, cfg: c.cfg.Placement, leases: c.cfg.Leases},
-		watch:  watch{log: c.cfg.Log, met: c.met},
+		watch:  leaderWatch{log: c.cfg.Log, met: c.met},
 		tasks:  make(chan func(), taskQueue), stopped: make(chan struct{}), done: make(chan struct{}),
 		waiters: map[uint64]waiter{}, reads: map[uint64]chan<- uint64{},
-		// Read contexts are unique over restarts, so that an answer to an
-		// earlier process cannot be taken for one to this.
+		// Read contexts start at a random number, so that an answer to an earlier
+		// incarnation is not matched with a read of this one.
 		nextRead: rand.Uint64() >> 1,
 		onDeploy: c.cfg.OnDeploy, onPoison: c.cfg.OnPoison, rosterUsed: c.cfg.Seeds.used(), rosterCfg: c.cfg.Seeds.Roster,
 	}
 	c.loop.node = consensus.New(consensus.Config{
-		ID: c.id, ElectionTicks: electionTicks, StartTicks: startTicks, HeartbeatTicks: voterBeat, ObserverTicks: observerBeat,
+		ID: c.id, ElectionTicks: electionTicks, StartTicks: startTicks, HeartbeatTicks: voterHeartbeatTicks, ObserverTicks: observerHeartbeatTicks,
 		Rand: rand.IntN, HardState: res.HardState, Snapshot: res.Snapshot, Entries: res.Entries,
 	})
 	c.hub.reset(ident.Index(res.Snapshot.Index))
@@ -150,16 +149,16 @@
 	c.cfg.Log.Info().Uint64("node", uint64(c.id)).Str("address", c.Addr()).Int("entries", len(res.Entries)).Uint64("snapshot", res.Snapshot.Index).Int("torn_bytes", res.TornBytes).Msg("control_started")
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
-	c.loop.noteDeployment()
-	c.loop.notePoison()
+	c.loop.notifyDeployment()
+	c.loop.notifyPoison()
 	go c.loop.run()
 	close(c.started)
 	go c.forwardBeats(ctx)
 	if c.cfg.Seeds.used() {
-		go c.keepInTouch(ctx)
+		go c.greetHosts(ctx)
 	}
 	if c.cfg.Seeds.used() && !c.cfg.Seeds.Volatile {
-		go c.keepContacts(ctx, kept)
+		go c.saveContacts(ctx, savedContacts)
 	}
 	if c.cfg.HostList != nil {
 		go c.pollHosts(ctx)
@@ -167,10 +166,11 @@
 	return nil
 }
 
-// bootstrap starts a new group on an empty data folder if asked to.
+// bootstrap writes the first snapshot of a new group if the data folder is empty and
+// this host is a founder or Config.Bootstrap is set.
 func (c *Control) bootstrap(res *disklog.Restored) error {
 	empty := res.Snapshot.Index == 0 && len(res.Entries) == 0
-	if m, founder := c.founders(); founder && empty {
+	if m, founder := c.foundingMembership(); founder && empty {
 		res.Snapshot = consensus.Bootstrap(m)
 		return c.disk.SaveSnapshot(res.Snapshot)
 	}
@@ -200,9 +200,9 @@
 	c.cfg.Log.Warn().Str("remote", remote).Err(err).Msg("connection_refused")
 }
 
-// sendAndFollow sends messages and keeps the connections in step with the
+// sendToPeers sends messages after updating the connections to the current
 // membership. It runs in the loop.
-func (c *Control) sendAndFollow(msgs []consensus.Message) {
+func (c *Control) sendToPeers(msgs []consensus.Message) {
 	if len(msgs) == 0 {
 		return
 	}
@@ -210,11 +210,11 @@
 	c.peers.send(msgs)
 }
 
-// copyAll returns everything that subscribers know, as changes.
+// copyAll returns the whole state that subscribers receive, as changes.
 func (c *Control) copyAll() (ident.Index, []state.Change, error) {
 	var index ident.Index
 	var out []state.Change
-	err := c.loop.with(func() {
+	err := c.loop.do(func() {
 		st := c.loop.st
 		index = st.Index()
 		for _, r := range st.Records() {
@@ -233,11 +233,11 @@
 	return index, out, err
 }
 
-const beatForward = 250 * time.Millisecond
+const beatForwardInterval = 250 * time.Millisecond
 
-// forwardBeats sends what this host's subscribers said to the leader.
+// forwardBeats forwards the beats of this host's subscribers to the leader.
 func (c *Control) forwardBeats(ctx context.Context) {
-	t := time.NewTicker(beatForward)
+	t := time.NewTicker(beatForwardInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -247,7 +247,7 @@
 		}
 		leader := c.leader()
 		if leader == c.id || leader == consensus.None {
-			continue // the leader takes them itself; without one they wait
+			continue // the leader processes its own; without a leader they wait
 		}
 		if beats := c.hub.takeBeats(); len(beats) > 0 {
 			c.forward(ctx, leader, beats)
@@ -260,7 +260,7 @@
 	defer cancel()
 	var res wire.SessionsResult
 	if err := c.peers.call(ctx, leader, wire.MethodSessions, wire.Sessions{From: c.id, Beats: beats}, &res); err != nil {
-		c.hub.putBack(beats) // reports may hold what is not said again
+		c.hub.restoreBeats(beats) // reports may hold what is not sent again
 		return
 	}
 	c.hub.setEntries(res.Entries)
@@ -272,7 +272,7 @@
 	for {
 		hosts, err := c.cfg.HostList.List(ctx)
 		if err == nil {
-			c.loop.post(func() { c.loop.duties.list(time.Now(), hosts) })
+			c.loop.post(func() { c.loop.duties.setHosts(time.Now(), hosts) })
 		} else if ctx.Err() == nil {
 			c.cfg.Log.Warn().Err(err).Msg("host_list_failed")
 		}
@@ -290,20 +290,20 @@
 // Status returns the consensus status.
 func (c *Control) Status() consensus.Status {
 	var s consensus.Status
-	_ = c.loop.with(func() { s = c.loop.node.Status() })
+	_ = c.loop.do(func() { s = c.loop.node.Status() })
 	return s
 }
 
-// Propose decides a command, through whichever host leads. The error is one of
-// the package's outcomes; ErrLost and a timeout leave open whether the command
-// was carried out.
+// Propose commits a command through the current leader. The error is one of
+// the package's errors; after ErrLost or a timeout it is not known whether the command
+// was committed.
 func (c *Control) Propose(ctx context.Context, cmd state.Command) (state.Result, error) {
 	for {
 		res, err := c.proposeOnce(ctx, cmd)
 		if !errors.Is(err, consensus.ErrNotLeader) && !errors.Is(err, ErrNoLeader) && !errors.Is(err, consensus.ErrTransferring) {
 			return res, err
 		}
-		// It was not proposed: wait for a leader within the caller's time.
+		// It was not proposed: wait for a leader until ctx ends.
 		select {
 		case <-ctx.Done():
 			return state.Result{}, ErrNoLeader
@@ -332,7 +332,7 @@
 	return res, err
 }
 
-// proposeHere decides a command on this host, which must lead.
+// proposeHere commits a command on this host, which must be the leader.
 func (c *Control) proposeHere(ctx context.Context, cmd state.Command) (state.Result, error) {
 	ch := make(chan proposalResult, 1)
 	if !c.loop.post(func() { c.loop.propose(cmd, ch) }) {
@@ -348,44 +348,44 @@
 	}
 }
 
-// Ready reports whether this host follows a leader or leads, and holds what was
-// committed.
+// Ready returns nil when this host has applied everything that was committed before the
+// call, and an error if no quorum confirms that before ctx ends.
 func (c *Control) Ready(ctx context.Context) error {
 	_, err := c.loop.barrier(ctx)
 	return err
 }
 
-const handOverWait = 2 * time.Second
+const transferTimeout = 2 * time.Second
 
-// Stop hands leadership over, if this host has it, and stops.
+// Stop transfers leadership to another voter, if this host leads, and stops.
 func (c *Control) Stop() {
-	c.handOver()
+	c.transferLeadership()
 	c.Kill()
 }
 
-// handOver gives leadership to another voter and waits until it has it, so that
-// a planned stop leaves no gap.
-func (c *Control) handOver() {
-	deadline := time.Now().Add(handOverWait)
+// transferLeadership transfers leadership to another voter and waits until that voter leads,
+// so that a planned stop leaves no time without a leader.
+func (c *Control) transferLeadership() {
+	deadline := time.Now().Add(transferTimeout)
 	for time.Now().Before(deadline) {
-		led := false
-		err := c.loop.with(func() {
-			led = c.loop.node.IsLeader()
+		leading := false
+		err := c.loop.do(func() {
+			leading = c.loop.node.IsLeader()
 			to := c.loop.node.TransferTarget()
-			if !led || to == consensus.None {
-				led = false
+			if !leading || to == consensus.None {
+				leading = false
 				return
 			}
 			_ = c.loop.node.Transfer(to)
 		})
-		if err != nil || !led {
+		if err != nil || !leading {
 			return
 		}
-		time.Sleep(tickEvery)
+		time.Sleep(tickInterval)
 	}
 }
 
-// Kill stops at once, as a crash would.
+// Kill stops at once, without transferring leadership, as a crash would.
 func (c *Control) Kill() {
 	select {
 	case <-c.loop.stopped:
@@ -415,13 +415,13 @@
 func (c *Control) RecordHere(name string) (state.Record, bool) {
 	var r state.Record
 	var ok bool
-	_ = c.loop.with(func() { r, ok = c.loop.st.Record(name) })
+	_ = c.loop.do(func() { r, ok = c.loop.st.Record(name) })
 	return r, ok
 }
 
-// Knows reports whether an endpoint is registered, as this host has applied it.
+// Knows reports whether an endpoint is registered in the state that this host has applied.
 func (c *Control) Knows(h ident.HostID) bool {
 	known := false
-	_ = c.loop.with(func() { _, known = c.loop.st.Endpoint(h) })
+	_ = c.loop.do(func() { _, known = c.loop.st.Endpoint(h) })
 	return known
 }
--- a/internal/app/control/deployment.go
+++ b/internal/app/control/deployment.go
@@ -11,16 +11,16 @@
 	"github.com/cassiapass/cassiapass/internal/wire"
 )
 
-// Deploy puts a deployment in force through whichever host leads and returns
-// when a quorum has synced it and this host has applied what it answers from. A
-// deployment that was sent before is answered without a new decision.
+// Deploy puts a deployment in force through the current leader. It returns when a quorum has
+// synced the deployment and the host that answers has applied it. A repeated deployment is
+// answered without another command.
 func (c *Control) Deploy(ctx context.Context, by string, d state.Deploy) (state.Result, error) {
 	if _, err := c.loop.barrier(ctx); err != nil {
 		return state.Result{}, err
 	}
 	var res state.Result
 	known := false
-	if err := c.loop.with(func() { res, known = c.loop.st.Deployed(d) }); err != nil {
+	if err := c.loop.do(func() { res, known = c.loop.st.Deployed(d) }); err != nil {
 		return res, err
 	}
 	if known {
@@ -29,53 +29,54 @@
 	return c.Propose(ctx, state.Command{By: by, Deploy: &d})
 }
 
-// readHere is how long a read waits for this host's own copy before the leader is asked
-// for its, and again between such calls. A host that follows is up to date within
+// leaderReadInterval is how long a read waits for this host's own copy before it asks the
+// leader, and the interval between such calls. A follower is up to date within
 // milliseconds.
-const readHere = 300 * time.Millisecond
+const leaderReadInterval = 300 * time.Millisecond
 
-// confirmed is a deployment as a quorum confirmed it.
+// confirmed is a deployment that a quorum has confirmed to be the newest.
 type confirmed struct {
 	deployment state.Deployment
 	err        error
 }
 
-// Deployment returns the deployment in force, as a quorum confirms it at the
+// Deployment returns the deployment in force, as confirmed by a quorum at the
 // time of the call.
 //
-// A host that has come back empty knows the leader some time before it is a member and
-// holds a copy; one that is behind gets there late. Without the leader's answer operators
-// get none from it, although the group is whole. Each of the two answers is confirmed
-// after the call began, so neither is older than it.
+// It asks the leader as well as the local copy. A host that restarted empty knows the leader
+// some time before it is a member and holds a copy, and one that lags catches up late.
+// Without the leader's answer, operators get none from such a host although the group is
+// healthy. Each of the two answers is confirmed after the call began, so neither is older
+// than the call.
 func (c *Control) Deployment(ctx context.Context) (state.Deployment, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	here, leader := make(chan confirmed, 1), make(chan confirmed, 1)
-	go func() { here <- c.confirmedHere(ctx) }()
+	local, leader := make(chan confirmed, 1), make(chan confirmed, 1)
+	go func() { local <- c.confirmedLocally(ctx) }()
 	go func() { leader <- c.confirmedByLeader(ctx) }()
 	select {
-	case r := <-here:
+	case r := <-local:
 		return r.deployment, r.err
 	case r := <-leader:
 		return r.deployment, r.err
 	}
 }
 
-// confirmedHere returns the deployment that this host holds, once that is known to be the
-// newest.
-func (c *Control) confirmedHere(ctx context.Context) confirmed {
+// confirmedLocally returns the deployment of this host's own state, once a quorum has
+// confirmed that it is the newest.
+func (c *Control) confirmedLocally(ctx context.Context) confirmed {
 	var r confirmed
 	if _, r.err = c.loop.barrier(ctx); r.err != nil {
 		return r
 	}
-	r.err = c.loop.with(func() { r.deployment = c.loop.st.Deployment() })
+	r.err = c.loop.do(func() { r.deployment = c.loop.st.Deployment() })
 	return r
 }
 
-// confirmedByLeader asks the leader for the deployment that it holds until it answers or
-// ctx ends, from readHere on.
+// confirmedByLeader asks the leader for its deployment at each leaderReadInterval until it
+// answers or ctx ends.
 func (c *Control) confirmedByLeader(ctx context.Context) confirmed {
-	again := time.NewTicker(readHere)
+	again := time.NewTicker(leaderReadInterval)
 	defer again.Stop()
 	for {
 		select {
@@ -83,15 +84,15 @@
 			return confirmed{err: ErrNoLeader}
 		case <-again.C:
 		}
-		if d, err := c.askLeader(ctx); err == nil {
+		if d, err := c.readFromLeader(ctx); err == nil {
 			return confirmed{deployment: d}
 		}
 	}
 }
 
-// askLeader asks for the deployment at the address under which this host knows the leader,
-// or was told of it.
-func (c *Control) askLeader(ctx context.Context) (state.Deployment, error) {
+// readFromLeader requests the deployment at the leader's address, which this host knows
+// itself or received from another host.
+func (c *Control) readFromLeader(ctx context.Context) (state.Deployment, error) {
 	var d state.Deployment
 	addr := c.LeaderAddr()
 	if addr == "" || addr == c.Addr() {
@@ -108,15 +109,15 @@
 	return d, err
 }
 
-// onDeployment answers a host whose own copy is behind. One that does not lead has nothing
-// to tell that the other could not wait for itself.
+// onDeployment answers a host whose own copy lags. Only the leader answers: another host
+// knows nothing that the caller could not wait for itself.
 func (c *Control) onDeployment(ctx context.Context) (any, error) {
 	if c.leader() != c.id {
 		return nil, rpc.ErrNotLeader
 	}
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	r := c.confirmedHere(ctx)
+	r := c.confirmedLocally(ctx)
 	return r.deployment, r.err
 }
 
@@ -124,27 +125,27 @@
 // asking a quorum.
 func (c *Control) DeploymentHere() state.Deployment {
 	var d state.Deployment
-	_ = c.loop.with(func() { d = c.loop.st.Deployment() })
+	_ = c.loop.do(func() { d = c.loop.st.Deployment() })
 	return d
 }
 
-// Lead is a host's standing as leader.
+// Lead describes whether a host leads.
 type Lead struct {
 	Leading bool   // this host leads and has applied all that was decided before its term
 	Term    uint64 // rises with every leader and is never used by two
 }
 
-// Lead returns this host's standing without asking a quorum.
+// Lead returns whether this host leads, and its term, without asking a quorum.
 func (c *Control) Lead() Lead {
 	var l Lead
-	_ = c.loop.with(func() { l = Lead{Leading: c.loop.node.LeadsSettled(), Term: c.loop.node.Term()} })
+	_ = c.loop.do(func() { l = Lead{Leading: c.loop.node.LeadsSettled(), Term: c.loop.node.Term()} })
 	return l
 }
 
 // ConfirmLead returns nil if a quorum confirms that this host still leads term.
-// A host that was frozen believes that it leads until it hears otherwise, and
-// its clock may have stood still meanwhile; one round trip to a quorum tells it
-// before it gives an order.
+// A host that was suspended takes itself for the leader until it learns otherwise, and
+// its clock may have stopped meanwhile; one round trip to a quorum detects this before it
+// gives an order.
 func (c *Control) ConfirmLead(ctx context.Context, term uint64) error {
 	if l := c.Lead(); !l.Leading || l.Term != term {
 		return consensus.ErrNotLeader
@@ -158,27 +159,28 @@
 	return nil
 }
 
-// Holder returns the newest note on who holds the engines, as this host has applied it.
+// Holder returns the newest record of which host holds the engines, as this host has
+// applied it.
 func (c *Control) Holder() holder.Record {
 	var r holder.Record
-	_ = c.loop.with(func() { r = c.loop.st.Holder() })
+	_ = c.loop.do(func() { r = c.loop.st.Holder() })
 	return r
 }
 
-// NoteHolder notes in the log that this host holds the engines. It returns nil when that
-// is decided; a host that does not lead decides nothing.
+// NoteHolder records in the log that this host holds the engines. It returns nil when the
+// record is committed, and an error on a host that does not lead.
 func (c *Control) NoteHolder(ctx context.Context, r holder.Record) error {
 	_, err := c.proposeHere(ctx, state.Command{By: "control", Holder: &r})
 	return err
 }
 
-// noteDeployment tells the owner of a change of the deployment. It runs in the
+// notifyDeployment calls onDeploy if the deployment has changed. It runs in the
 // loop.
-func (l *loop) noteDeployment() {
+func (l *loop) notifyDeployment() {
 	d := l.st.Deployment()
-	if l.onDeploy == nil || d.Revision == l.toldDeploy {
+	if l.onDeploy == nil || d.Revision == l.notifiedDeploy {
 		return
 	}
-	l.toldDeploy = d.Revision
+	l.notifiedDeploy = d.Revision
 	l.onDeploy(d)
 }
--- a/internal/app/control/disks_test.go
+++ b/internal/app/control/disks_test.go
@@ -16,12 +16,12 @@
 
 var errDiskFull = errors.New("the test's disk is full")
 
-// faultyDisk stands before a host's log, over its restarts.
+// faultyDisk injects faults into the log of one host, across its restarts.
 type faultyDisk struct {
-	mu    sync.Mutex
-	delay time.Duration // of each write
-	until time.Time     // writes hang until then
-	full  bool
+	mu           sync.Mutex
+	delay        time.Duration // of each write
+	stalledUntil time.Time     // writes block until then
+	full         bool
 }
 
 func (d *faultyDisk) set(f func()) {
@@ -30,10 +30,10 @@
 	f()
 }
 
-// wait takes as long as a write takes now.
+// wait delays as long as a write takes with the present faults.
 func (d *faultyDisk) wait() error {
 	d.mu.Lock()
-	delay, until, full := d.delay, d.until, d.full
+	delay, until, full := d.delay, d.stalledUntil, d.full
 	d.mu.Unlock()
 	time.Sleep(max(delay, time.Until(until)))
 	if full {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-func (d *faultyDisk) wrap(under port.Disk) port.Disk { return &wrappedDisk{under, d} }
+func (d *faultyDisk) wrap(next port.Disk) port.Disk { return &wrappedDisk{next, d} }
 
 type wrappedDisk struct {
 	port.Disk
@@ -63,12 +63,12 @@
 	return w.Disk.SaveSnapshot(s)
 }
 
-// diskTrouble is one fault of one host's disk and its end.
-func (s *site) diskTrouble(r *rand.Rand, i int) (name string, end func()) {
-	d := s.disks[i]
+// injectDiskFault starts a random fault of one host's disk and returns how to end it.
+func (g *testGroup) injectDiskFault(r *rand.Rand, i int) (name string, end func()) {
+	d := g.disks[i]
 	switch r.IntN(3) {
 	case 0:
-		d.set(func() { d.until = time.Now().Add(1200 * time.Millisecond) })
+		d.set(func() { d.stalledUntil = time.Now().Add(1200 * time.Millisecond) })
 		return "stalls", func() {}
 	case 1:
 		d.set(func() { d.delay = 60 * time.Millisecond })
@@ -77,23 +77,23 @@
 	d.set(func() { d.full = true })
 	return "is full", func() {
 		d.set(func() { d.full = false })
-		s.kill(i) // as its supervisor does after a failed write
-		s.start(i, false)
+		g.kill(i) // as its supervisor does after a failed write
+		g.start(i, false)
 	}
 }
 
-// operator puts one version after the other in force through whichever host
-// answers, and checks that no host ever tells an older one than was acknowledged.
-func (s *site) operator(r *rand.Rand, version uint64, mu *sync.Mutex) error {
+// deployAndCheck puts a version in force through any host that answers, and
+// checks that a host does not return an older version than the acknowledged one.
+func (g *testGroup) deployAndCheck(r *rand.Rand, version uint64, mu *sync.Mutex) error {
 	begin := time.Now()
 	for try := 0; ; try++ {
-		if time.Since(begin) > patience {
-			return fmt.Errorf("version %d was not acknowledged within %v", version, patience)
+		if time.Since(begin) > waitLimit {
+			return fmt.Errorf("version %d was not acknowledged within %v", version, waitLimit)
 		}
 		mu.Lock()
-		c := s.hosts[r.IntN(len(s.hosts))]
+		c := g.hosts[r.IntN(len(g.hosts))]
 		mu.Unlock()
-		ctx, cancel := context.WithTimeout(s.t.Context(), time.Second)
+		ctx, cancel := context.WithTimeout(g.t.Context(), time.Second)
 		res, err := c.Deploy(ctx, "op", state.Deploy{Version: version, Text: fmt.Sprint("text ", version)})
 		cancel()
 		if err == nil && res.Code != state.OK {
@@ -104,30 +104,29 @@
 		}
 	}
 	mu.Lock()
-	c := s.hosts[r.IntN(len(s.hosts))]
+	c := g.hosts[r.IntN(len(g.hosts))]
 	mu.Unlock()
-	ctx, cancel := context.WithTimeout(s.t.Context(), time.Second)
+	ctx, cancel := context.WithTimeout(g.t.Context(), time.Second)
 	defer cancel()
 	if d, err := c.Deployment(ctx); err == nil && d.Version != version {
-		return fmt.Errorf("version %d is acknowledged, a host tells %d", version, d.Version)
+		return fmt.Errorf("version %d is acknowledged, but a host returns %d", version, d.Version)
 	}
 	return nil
 }
 
-// Symptom: a change is lost, told older than acknowledged or never acknowledged.
-// Sequence: one host's disk after the other stalls for 1.2 s, takes 60 ms a write
+// Guards against a change that is lost, never acknowledged, or read as older than
+// acknowledged. One host's disk after the other stalls for 1.2 s, takes 60 ms a write
 // or refuses every write, while an operator makes changes; a host whose write
-// failed starts anew.
-// Cause that this guards against: a leader that goes on leading with a stalled
-// disk, a write taken for made that was not, a vote that was not kept.
+// failed restarts. The faults are a leader that keeps leading with a stalled disk, a failed
+// write that counts as done, and a vote that is not stored.
 func TestDiskTroublesLoseNoChange(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			r := rand.New(rand.NewPCG(seed, 3))
-			s := newSite(t, 4)
-			s.eventually("formed", func() bool { return s.settled(4) })
-			var mu sync.Mutex // guards s.hosts
+			g := newGroup(t, 4)
+			g.eventually("formed", func() bool { return g.complete(4) })
+			var mu sync.Mutex // guards g.hosts
 			stop, done := make(chan struct{}), make(chan error, 1)
 			last := uint64(0)
 			go func() {
@@ -139,7 +138,7 @@
 						return
 					default:
 					}
-					if err := s.operator(or, last+1, &mu); err != nil {
+					if err := g.deployAndCheck(or, last+1, &mu); err != nil {
 						done <- err
 						return
 					}
@@ -147,8 +146,8 @@
 				}
 			}()
 			for range 4 {
-				i := r.IntN(len(s.hosts))
-				name, end := s.diskTrouble(r, i)
+				i := r.IntN(len(g.hosts))
+				name, end := g.injectDiskFault(r, i)
 				t.Logf("the disk of host %d %s", i, name)
 				time.Sleep(1300 * time.Millisecond)
 				mu.Lock()
@@ -158,10 +157,10 @@
 			}
 			close(stop)
 			if err := <-done; err != nil {
-				t.Fatal(err, s.describe())
+				t.Fatal(err, g.describe())
 			}
-			for i := range s.hosts {
-				s.eventually("the last change is read back", func() bool { return s.version(i) == last })
+			for i := range g.hosts {
+				g.eventually("the last change is read back", func() bool { return g.version(i) == last })
 			}
 			if last < 10 {
 				t.Fatalf("only %d changes were made", last)
--- a/internal/app/control/duties.go
+++ b/internal/app/control/duties.go
@@ -14,88 +14,89 @@
 )
 
 const (
-	leaseCheck  = 500 * time.Millisecond
-	expireEvery = 10 * time.Second
+	leaseCheckInterval = 500 * time.Millisecond
+	expireInterval     = 10 * time.Second
 )
 
-// duties is what a control host does only while it leads: placement, leases of
-// processes and expiry. Everything in it is made anew at each change of leader.
+// duties holds what a control host does only while it leads: placement, leases of
+// processes and expiry of claims. It is set up again in each term that this host leads.
 type duties struct {
-	log     zerolog.Logger
-	cfg     placement.Config
-	leases  member.Config
-	leading uint64 // term in which duties are carried out, 0 while not leading
-	planner *placement.Planner
-	table   *member.Table
-	entries map[ident.HostID]time.Time
-	checked time.Time
-	expired time.Time
-	hosts   []port.Host // newest list from the platform
-	listed  bool
+	log            zerolog.Logger
+	cfg            placement.Config
+	leases         member.Config
+	term           uint64 // term in which duties are carried out, 0 while not leading
+	planner        *placement.Planner
+	table          *member.Table
+	entrySeen      map[ident.HostID]time.Time
+	lastLeaseCheck time.Time
+	lastExpiry     time.Time
+	hosts          []port.Host // latest list from the platform
+	listed         bool
 }
 
-// tick carries out what is due. It runs in the loop.
+// tick runs the tasks that are due. It runs in the loop.
 func (d *duties) tick(now time.Time, l *loop) {
 	if !l.node.LeadsSettled() {
-		if d.leading != 0 && !l.node.IsLeader() {
-			d.leading = 0
+		if d.term != 0 && !l.node.IsLeader() {
+			d.term = 0
 			l.log.Info().Uint64("term", l.node.Term()).Msg("leadership_lost")
 		}
 		return
 	}
-	if d.leading != l.node.Term() {
-		d.begin(now, l)
+	if d.term != l.node.Term() {
+		d.beginTerm(now, l)
 	}
-	if now.Sub(d.checked) >= leaseCheck {
-		d.checked = now
-		d.forwardOwn(now, l)
+	if now.Sub(d.lastLeaseCheck) >= leaseCheckInterval {
+		d.lastLeaseCheck = now
+		d.processLocalBeats(now, l)
 		for _, c := range d.table.Check(now, l.st.Endpoints()) {
-			l.proposeQuietly(c)
+			l.proposeInternal(c)
 		}
 	}
-	if now.Sub(d.expired) >= expireEvery {
-		d.expired = now
+	if now.Sub(d.lastExpiry) >= expireInterval {
+		d.lastExpiry = now
 		if l.st.Claims() > 0 {
-			l.proposeQuietly(state.Command{Expire: &state.Expire{}})
+			l.proposeInternal(state.Command{Expire: &state.Expire{}})
 		}
 	}
 	d.plan(now, l)
 }
 
-func (d *duties) begin(now time.Time, l *loop) {
-	d.leading = l.node.Term()
+func (d *duties) beginTerm(now time.Time, l *loop) {
+	d.term = l.node.Term()
 	d.planner = placement.New(d.cfg, now)
 	d.table = member.New(d.leases, now)
-	d.entries = map[ident.HostID]time.Time{}
+	d.entrySeen = map[ident.HostID]time.Time{}
 	if d.listed {
 		d.table.List(now, platformHosts(d.hosts))
 	}
-	l.log.Info().Uint64("term", d.leading).Uint64("index", uint64(l.st.Index())).Msg("leadership_taken")
+	l.log.Info().Uint64("term", d.term).Uint64("index", uint64(l.st.Index())).Msg("leadership_taken")
 }
 
-// plan lets the planner decide and proposes its commands.
+// plan runs the planner and proposes its commands.
 func (d *duties) plan(now time.Time, l *loop) {
 	begin := time.Now()
 	for _, c := range d.planner.Plan(now, l.st) {
-		l.proposeQuietly(c)
+		l.proposeInternal(c)
 	}
 	l.met.planSeconds.UpdateDuration(begin)
 }
 
-// forwardOwn takes in the beats of this host's own subscribers.
-func (d *duties) forwardOwn(now time.Time, l *loop) {
-	d.hear(now, l, l.hub.takeBeats())
+// processLocalBeats processes the beats of this host's own subscribers.
+func (d *duties) processLocalBeats(now time.Time, l *loop) {
+	d.processBeats(now, l, l.hub.takeBeats())
 	l.hub.setEntries(d.liveEntries(now))
 }
 
-// hear takes in signs of life and reports.
-func (d *duties) hear(now time.Time, l *loop, beats []wire.Beat) {
-	if d.leading == 0 {
+// processBeats records entries as live, renews the leases of agents and passes their
+// reports to the planner.
+func (d *duties) processBeats(now time.Time, l *loop, beats []wire.Beat) {
+	if d.term == 0 {
 		return
 	}
 	for _, b := range beats {
 		if b.Process.Role == wire.RoleEntry {
-			d.entries[b.Process.Host] = now
+			d.entrySeen[b.Process.Host] = now
 			continue
 		}
 		d.table.Heard(now, b.Process.Host, b.Process.Incarnation)
@@ -105,12 +106,12 @@
 	}
 }
 
-// liveEntries counts the entries heard recently.
+// liveEntries counts the entries whose last beat is within the lease, and removes the others.
 func (d *duties) liveEntries(now time.Time) int {
 	n := 0
-	for h, at := range d.entries {
+	for h, at := range d.entrySeen {
 		if now.Sub(at) > d.leases.Lease {
-			delete(d.entries, h)
+			delete(d.entrySeen, h)
 			continue
 		}
 		n++
@@ -118,8 +119,8 @@
 	return n
 }
 
-// demand takes in what waits at an entry and answers with estimates.
-func (d *duties) demand(now time.Time, l *loop, p wire.DemandParams) wire.DemandResult {
+// handleDemand passes the demand of an entry to the planner and returns estimates.
+func (d *duties) handleDemand(now time.Time, l *loop, p wire.DemandParams) wire.DemandResult {
 	for _, in := range p.Demands {
 		dm := in.Demand
 		dm.Deadline = now.Add(in.Within)
@@ -141,17 +142,17 @@
 	return wire.EstimateIn{Target: t, Known: true, In: max(0, e.Ready.Sub(now)), Reason: e.Reason}
 }
 
-// applied lets the planner follow its commands through the log.
+// applied passes the result of an applied command to the planner.
 func (d *duties) applied(c state.Command, res state.Result) {
 	if d.planner != nil {
 		d.planner.Applied(c, res)
 	}
 }
 
-// list takes in the platform's host list.
-func (d *duties) list(now time.Time, hosts []port.Host) {
+// setHosts replaces the host list from the platform.
+func (d *duties) setHosts(now time.Time, hosts []port.Host) {
 	d.hosts, d.listed = hosts, true
-	if d.leading != 0 {
+	if d.term != 0 {
 		d.table.List(now, platformHosts(hosts))
 	}
 }
--- a/internal/app/control/group.go
+++ b/internal/app/control/group.go
@@ -15,7 +15,7 @@
 	"github.com/cassiapass/cassiapass/internal/wire"
 )
 
-// Seeds lets control hosts form a group and keep it whole without an operator.
+// Seeds lets control hosts form a group and maintain its membership without an operator.
 // The zero value leaves membership to operators.
 type Seeds struct {
 	// Addrs are the advertised addresses of hosts that were control hosts when
@@ -24,27 +24,27 @@
 	// Form is true only at the first start of the whole deployment: the hosts
 	// at Addrs are then the founding voters.
 	Form bool
-	// Volatile tells that the host has no disk. It holds the log in memory and
-	// answers operators, but never votes and founds no group.
+	// Volatile means that the host has no disk. It holds the log in memory and
+	// answers operators, but never votes and does not found a group.
 	Volatile bool
-	// Roster bounds replacing and forgetting.
+	// Roster sets when members are replaced and removed.
 	Roster roster.Config
 }
 
 func (s Seeds) used() bool { return len(s.Addrs) > 0 }
 
-// rosterEvery is the time between looks at which membership change is due.
-const rosterEvery = 250 * time.Millisecond
+// rosterInterval is the time between checks for a due membership change.
+const rosterInterval = 250 * time.Millisecond
 
 // foundingID is the identity of a founding voter. Every founder derives the
-// same ones from the same list, so that all start from one membership without
-// having talked. A host that later loses its disk starts with Form false and
-// draws a fresh identity instead: under this one it would forget its votes.
+// same identities from the same list, so that all start from one membership without
+// communication. A host that later loses its disk starts with Form false and
+// draws a fresh identity: under its founding one it could vote twice, as its votes are lost.
 func foundingID(group, addr string) consensus.NodeID {
 	return consensus.NodeID(xxhash.Sum64String("founder/"+group+"/"+addr) | 1)
 }
 
-// freshIdentity is the identity for an empty data folder.
+// freshIdentity returns the identity for an empty data folder.
 func (cfg Config) freshIdentity() disklog.Identity {
 	id := consensus.NodeID(rand.Uint64() | 1)
 	if cfg.Seeds.Form && !cfg.Seeds.Volatile && slices.Contains(cfg.Seeds.Addrs, cfg.Advertise) {
@@ -53,11 +53,11 @@
 	return disklog.Identity{Node: id, Group: cfg.Group}
 }
 
-// startOver empties a damaged data folder; the host joins as a new member.
-// Nobody is there to do it by hand, and a host that stays down would leave its
-// group unable to bear the next loss. The new identity is never a founding one:
+// recreateDataFolder empties a damaged data folder; the host joins as a new member.
+// This is automatic because no operator is expected to do it, and a group whose host
+// stays down cannot tolerate the next loss. The new identity is never a founding one:
 // the damaged folder may have voted under that.
-func (cfg Config) startOver(cause error) (*disklog.Log, *disklog.Restored, error) {
+func (cfg Config) recreateDataFolder(cause error) (*disklog.Log, *disklog.Restored, error) {
 	cfg.Log.Error().Err(cause).Msg("data_folder_discarded")
 	if err := disklog.Discard(cfg.DataDir); err != nil {
 		return nil, nil, err
@@ -66,8 +66,9 @@
 	return disklog.Open(cfg.DataDir, cfg.freshIdentity)
 }
 
-// founders returns the first membership, if this host is one of the founders.
-func (c *Control) founders() (consensus.Membership, bool) {
+// foundingMembership returns the first membership of the group, and whether this host is
+// one of its founders.
+func (c *Control) foundingMembership() (consensus.Membership, bool) {
 	var m consensus.Membership
 	if !c.cfg.Seeds.Form {
 		return m, false
@@ -79,7 +80,7 @@
 	return m, founder
 }
 
-// onJoin notes a request to join on the leader and forwards it elsewhere.
+// onJoin passes a request to join to the roster on the leader and forwards it elsewhere.
 func (c *Control) onJoin(ctx context.Context, raw json.RawMessage) (any, error) {
 	p, err := decode[wire.JoinParams](raw)
 	if err != nil {
@@ -90,7 +91,7 @@
 	case leader == consensus.None:
 		return nil, ErrNoLeader
 	case leader != c.id && p.Forwarded:
-		return nil, ErrNoLeader // two hosts that each take the other for the leader
+		return nil, ErrNoLeader // avoids a loop between hosts that each take the other for the leader
 	case leader != c.id:
 		p.Forwarded = true
 		var res wire.JoinResult
@@ -98,7 +99,7 @@
 		return res, err
 	}
 	var res wire.JoinResult
-	err = c.loop.with(func() {
+	err = c.loop.do(func() {
 		if c.loop.roster != nil {
 			c.loop.roster.Join(roster.Joiner{ID: p.ID, Addr: p.Addr, At: time.Now(), Volatile: p.Volatile})
 		}
@@ -109,7 +110,7 @@
 
 // tickRoster proposes the membership change that is due. It runs in the loop.
 func (l *loop) tickRoster(now time.Time) {
-	if !l.rosterUsed || now.Sub(l.rosterChecked) < rosterEvery {
+	if !l.rosterUsed || now.Sub(l.rosterChecked) < rosterInterval {
 		return
 	}
 	l.rosterChecked = now
@@ -121,7 +122,7 @@
 		l.roster, l.rosterTerm = roster.New(l.rosterCfg, now), l.node.Term()
 	}
 	st := l.node.Status()
-	l.noteMoved(now, st.Membership)
+	l.reportMoved(now, st.Membership)
 	ch, due := l.roster.Next(now, st)
 	if !due {
 		return
@@ -131,11 +132,11 @@
 		Bool("remove", ch.Remove).Str("reason", ch.Reason).Err(err).Msg("membership_change_proposed")
 }
 
-// noteMoved tells the roster of members that were met at another address than the log
-// says, this host among them. They hear the leader and do not ask to join.
-func (l *loop) noteMoved(now time.Time, ms consensus.Membership) {
+// reportMoved passes to the roster the members whose address differs from the one in the log,
+// including this host. They receive the leader's messages and so do not ask to join.
+func (l *loop) reportMoved(now time.Time, ms consensus.Membership) {
 	for _, m := range ms.Members {
-		addr, met := l.metAt(m.ID)
+		addr, met := l.contactAddr(m.ID)
 		if m.ID == l.id {
 			addr, met = l.addr, true
 		}
--- a/internal/app/control/handlers.go
+++ b/internal/app/control/handlers.go
@@ -14,7 +14,7 @@
 	"github.com/cassiapass/cassiapass/internal/wire"
 )
 
-// handle answers what other processes of the system send.
+// handle dispatches calls from other processes of the system.
 func (c *Control) handle(ctx context.Context, conn *rpc.Conn, method string, raw json.RawMessage) (any, error) {
 	<-c.started
 	switch method {
@@ -66,7 +66,7 @@
 			if c.loop.roster != nil {
 				c.loop.roster.Heard(now, m.From)
 			}
-			c.loop.watch.message(now, m)
+			c.loop.watch.observeMessage(now, m)
 			c.loop.node.Step(m)
 		}
 	})
@@ -116,11 +116,11 @@
 	if err != nil {
 		return nil, err
 	}
-	err = c.loop.with(func() { c.loop.duties.hear(time.Now(), c.loop, s.Beats) })
+	err = c.loop.do(func() { c.loop.duties.processBeats(time.Now(), c.loop, s.Beats) })
 	return wire.SessionsResult{Entries: c.hub.liveEntries()}, err
 }
 
-// onDemand answers on the leader and forwards elsewhere.
+// onDemand answers on the leader; other hosts forward the call to it.
 func (c *Control) onDemand(ctx context.Context, raw json.RawMessage) (any, error) {
 	p, err := decode[wire.DemandParams](raw)
 	if err != nil {
@@ -136,13 +136,13 @@
 	}
 	var res wire.DemandResult
 	settled := false
-	err = c.loop.with(func() {
+	err = c.loop.do(func() {
 		d := c.loop.duties
-		if d.leading == 0 || !c.loop.node.LeadsSettled() {
+		if d.term == 0 || !c.loop.node.LeadsSettled() {
 			return
 		}
 		settled = true
-		res = d.demand(time.Now(), c.loop, p)
+		res = d.handleDemand(time.Now(), c.loop, p)
 		c.loop.node.Flush()
 	})
 	if err == nil && !settled {
@@ -168,9 +168,9 @@
 	return c.Propose(ctx, state.Command{By: "claim", Open: p.Open, Settle: p.Settle})
 }
 
-// onCommit decides a command of an agent: its registration or the state of one of its
-// replicas; or of an entry: what it saw of requests under which endpoints ended. Anything
-// else comes from operators or from control itself.
+// onCommit commits a command of an agent (its registration or the state of one of its
+// replicas) or of an entry (requests that were running when an endpoint ended). Other
+// commands come from operators or from control itself and are rejected here.
 func (c *Control) onCommit(ctx context.Context, raw json.RawMessage) (any, error) {
 	p, err := decode[wire.ProposeParams](raw)
 	if err != nil {
@@ -194,7 +194,7 @@
 }
 
 // ChangeMember changes the membership through the leader and returns when the
-// change is committed.
+// change is committed. A change that is refused is in the result, not in the error.
 func (c *Control) ChangeMember(ctx context.Context, p wire.MemberParams) (wire.MemberResult, error) {
 	leader := c.leader()
 	if leader == consensus.None {
@@ -237,7 +237,7 @@
 // ControlStatus describes this host for operators.
 func (c *Control) ControlStatus() wire.ControlStatus {
 	s := wire.ControlStatus{Group: c.cfg.Group}
-	_ = c.loop.with(func() {
+	_ = c.loop.do(func() {
 		s.Node = c.loop.node.Status()
 		s.Config = c.loop.st.Config()
 	})
--- a/internal/app/control/http.go
+++ b/internal/app/control/http.go
@@ -32,7 +32,7 @@
 	Reason  string      `json:"reason,omitempty"`
 }
 
-// Explanation tells why a target is, or is not, loaded.
+// Explanation explains why a target is, or is not, loaded.
 type Explanation struct {
 	Target   string             `json:"target"`
 	Stated   *state.Statement   `json:"stated,omitempty"`
@@ -53,7 +53,7 @@
 }
 
 // API returns the operators' HTTP interface. token authenticates operators; an
-// empty one lets everybody in and must be asked for by a flag that says so.
+// empty one disables authentication and must be enabled by an explicit flag.
 func (c *Control) API(token string) *echo.Echo {
 	e := opshttp.New(c.Ready, c.met.set)
 	c.operatorRoutes(e.Group("/v1", authorize(token)))
@@ -74,7 +74,8 @@
 	g.DELETE("/quarantine/:fingerprint", c.ServeLift)
 }
 
-// authorize compares the operator's token in constant time.
+// authorize rejects requests without the operator's token, which it compares in constant
+// time.
 func authorize(token string) echo.MiddlewareFunc {
 	want := sha256.Sum256([]byte(token))
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
@@ -88,14 +89,14 @@
 	}
 }
 
-// current runs f on a state that holds everything committed before the request.
-func (c *Control) current(x echo.Context, f func(*state.State)) error {
+// readCurrent runs f on a state that holds everything committed before the request.
+func (c *Control) readCurrent(x echo.Context, f func(*state.State)) error {
 	ctx, cancel := context.WithTimeout(x.Request().Context(), operatorTimeout)
 	defer cancel()
 	if _, err := c.loop.barrier(ctx); err != nil {
 		return unavailable(x, err)
 	}
-	if err := c.loop.with(func() { f(c.loop.st) }); err != nil {
+	if err := c.loop.do(func() { f(c.loop.st) }); err != nil {
 		return unavailable(x, err)
 	}
 	return nil
@@ -104,7 +105,7 @@
 func unavailable(x echo.Context, err error) error {
 	code := "unavailable"
 	if errors.Is(err, ErrLost) {
-		code = "unknown" // it may have been carried out; resend with the same request id
+		code = "unknown" // it may have been committed; resend with the same request id
 	}
 	_ = x.JSON(http.StatusServiceUnavailable, Failure{Code: code, Message: err.Error()})
 	return err
@@ -112,7 +113,7 @@
 
 func (c *Control) httpList(x echo.Context) error {
 	var out []state.Record
-	if err := c.current(x, func(s *state.State) { out = s.Records() }); err != nil {
+	if err := c.readCurrent(x, func(s *state.State) { out = s.Records() }); err != nil {
 		return nil
 	}
 	if x.QueryParam("all") == "" {
@@ -124,7 +125,7 @@
 func (c *Control) httpGet(x echo.Context) error {
 	var rec state.Record
 	var ok bool
-	if err := c.current(x, func(s *state.State) { rec, ok = s.Record(x.Param("name")) }); err != nil {
+	if err := c.readCurrent(x, func(s *state.State) { rec, ok = s.Record(x.Param("name")) }); err != nil {
 		return nil
 	}
 	if !ok {
@@ -146,7 +147,7 @@
 	return ch, nil
 }
 
-func operator(x echo.Context) string {
+func operatorName(x echo.Context) string {
 	if by := x.Request().Header.Get("Cassiapass-Operator"); by != "" {
 		return by
 	}
@@ -158,12 +159,12 @@
 	if err != nil {
 		return x.JSON(http.StatusBadRequest, Failure{Code: string(state.Invalid), Message: err.Error()})
 	}
-	// Checked before it costs a place in the log; the state machine checks
-	// again, because only there is the answer the same everywhere.
+	// Rejected here before it takes an entry of the log; the state machine checks
+	// again, because only its result is the same on all hosts.
 	if _, err := record.Parse(ch.Record); err != nil {
 		return x.JSON(http.StatusUnprocessableEntity, Failure{Code: string(state.Invalid), Message: err.Error()})
 	}
-	cmd := state.Command{By: operator(x), Submit: &state.Submit{Request: ch.Request, Base: ch.Base, Raw: ch.Record, Reason: ch.Reason}}
+	cmd := state.Command{By: operatorName(x), Submit: &state.Submit{Request: ch.Request, Base: ch.Base, Raw: ch.Record, Reason: ch.Reason}}
 	return c.decide(x, cmd)
 }
 
@@ -172,7 +173,7 @@
 	if err != nil {
 		return x.JSON(http.StatusBadRequest, Failure{Code: string(state.Invalid), Message: err.Error()})
 	}
-	cmd := state.Command{By: operator(x), Withdraw: &state.Withdraw{Request: ch.Request, Name: x.Param("name"), Base: ch.Base, Reason: ch.Reason}}
+	cmd := state.Command{By: operatorName(x), Withdraw: &state.Withdraw{Request: ch.Request, Name: x.Param("name"), Base: ch.Base, Reason: ch.Reason}}
 	return c.decide(x, cmd)
 }
 
@@ -197,7 +198,7 @@
 // httpAudit lists audit events, filtered by subject, target, host or action.
 func (c *Control) httpAudit(x echo.Context) error {
 	var all []state.AuditEvent
-	if err := c.current(x, func(s *state.State) { all = slices.Clone(s.Audit()) }); err != nil {
+	if err := c.readCurrent(x, func(s *state.State) { all = slices.Clone(s.Audit()) }); err != nil {
 		return nil
 	}
 	limit, err := strconv.Atoi(x.QueryParam("limit"))
@@ -206,7 +207,7 @@
 	}
 	out := []state.AuditEvent{}
 	for _, e := range slices.Backward(all) {
-		if len(out) < limit && matches(x, e) {
+		if len(out) < limit && matchesQuery(x, e) {
 			out = append(out, e)
 		}
 	}
@@ -214,7 +215,7 @@
 	return x.JSON(http.StatusOK, out)
 }
 
-func matches(x echo.Context, e state.AuditEvent) bool {
+func matchesQuery(x echo.Context, e state.AuditEvent) bool {
 	is := func(name, v string) bool {
 		want := x.QueryParam(name)
 		return want == "" || want == v
@@ -228,9 +229,9 @@
 		return x.JSON(http.StatusBadRequest, Failure{Code: string(state.Invalid), Message: err.Error()})
 	}
 	ex := Explanation{Target: t.String(), Replicas: []state.Replica{}, Events: []state.AuditEvent{}}
-	err = c.current(x, func(s *state.State) {
-		if said, ok := s.Stated(t); ok {
-			ex.Stated = &said
+	err = c.readCurrent(x, func(s *state.State) {
+		if stated, ok := s.Stated(t); ok {
+			ex.Stated = &stated
 		}
 		ex.Replicas = append(ex.Replicas, s.ReplicasOf(t)...)
 		for _, e := range s.Audit() {
@@ -238,7 +239,7 @@
 				ex.Events = append(ex.Events, e)
 			}
 		}
-		if d := c.loop.duties; d.leading != 0 {
+		if d := c.loop.duties; d.term != 0 {
 			est := d.estimate(time.Now(), s, t)
 			ex.Estimate = &est
 		}
@@ -261,7 +262,7 @@
 		_ = unavailable(x, err)
 		return nil
 	}
-	c.cfg.Log.Info().Str("by", operator(x)).Uint64("member", uint64(p.Member.ID)).Bool("voter", p.Member.Voter).Bool("remove", p.Remove).Bool("done", res.Done).Str("reason", res.Reason).Msg("membership_change")
+	c.cfg.Log.Info().Str("by", operatorName(x)).Uint64("member", uint64(p.Member.ID)).Bool("voter", p.Member.Voter).Bool("remove", p.Remove).Bool("done", res.Done).Str("reason", res.Reason).Msg("membership_change")
 	if !res.Done {
 		code := "refused"
 		if res.Behind {
--- a/internal/app/control/hub.go
+++ b/internal/app/control/hub.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	ringSize     = 20000 // changes kept for subscribers that come back
-	ringSlack    = 4000
-	pageSize     = 500 // changes in one message
-	trackedForce = 64  // record changes whose spread is remembered
+	ringSize    = 20000 // changes kept for subscribers that reconnect
+	ringSlack   = 4000
+	pageSize    = 500 // changes in one message
+	maxRollouts = 64  // record changes whose rollout is kept
 )
 
-// hub hands changes to subscribers. Each subscriber has a position and a
-// goroutine that sends what lies behind it; there is no queue per subscriber
+// hub sends changes to subscribers. Each subscriber has a position and a
+// goroutine that sends the changes after it; there is no queue per subscriber
 // that a slow one could fill.
 type hub struct {
 	copyAll func() (ident.Index, []state.Change, error) // full copy from the loop
 
-	mu      sync.Mutex
-	ring    []ringEntry // ordered by index
-	floor   ident.Index // changes after this index are all in the ring
-	index   ident.Index
-	config  ident.Index
-	subs    map[*rpc.Conn]*sub
-	inForce []force
-	beats   map[processKey]wire.Beat // heard since the last forward to the leader
-	entries int                      // live entries, as the leader counts them
+	mu       sync.Mutex
+	ring     []ringEntry // ordered by index
+	floor    ident.Index // changes after this index are all in the ring
+	index    ident.Index
+	config   ident.Index
+	subs     map[*rpc.Conn]*subscriber
+	rollouts []rollout
+	beats    map[processKey]wire.Beat // received since the last forward to the leader
+	entries  int                      // number of live entries, as counted by the leader
 }
 
 type processKey struct {
@@ -53,31 +53,31 @@
 
 const (
 	changeRecord changeKind = iota
-	changeHost              // endpoints and replicas: agents get only their own
+	changeHost              // endpoints and replicas: agents get only those of their host
 )
 
-// sub is one subscriber.
-type sub struct {
-	conn    *rpc.Conn
-	process wire.Process
-	at      ident.Index // everything up to here was sent or does not concern it
-	told    ident.Index // index of the last message sent, which the next one follows
-	wake    chan struct{}
-	acked   ident.Index
-	config  ident.Index
-	heard   time.Time
+// subscriber is a process that receives changes over its connection.
+type subscriber struct {
+	conn     *rpc.Conn
+	process  wire.Process
+	position ident.Index // everything up to this index was sent or does not concern it
+	lastSent ident.Index // index of the last message sent, from which the next one continues
+	wakeup   chan struct{}
+	acked    ident.Index
+	config   ident.Index
+	lastSeen time.Time
 }
 
-// force tells how a record change spread.
-type force struct {
-	index   ident.Index
-	at      time.Time
-	last    time.Time
-	slowest wire.Process
-	open    int
+// rollout is the progress of a record change among the subscribers.
+type rollout struct {
+	index       ident.Index
+	begun       time.Time
+	lastConfirm time.Time
+	slowest     wire.Process
+	pending     int
 }
 
-// page is wire.Changes with changes that are encoded already.
+// page is wire.Changes with changes that are already encoded.
 type page struct {
 	From    ident.Index       `json:"from"`
 	To      ident.Index       `json:"to"`
@@ -87,7 +87,7 @@
 }
 
 func newHub(copyAll func() (ident.Index, []state.Change, error)) *hub {
-	return &hub{copyAll: copyAll, subs: map[*rpc.Conn]*sub{}, beats: map[processKey]wire.Beat{}}
+	return &hub{copyAll: copyAll, subs: map[*rpc.Conn]*subscriber{}, beats: map[processKey]wire.Beat{}}
 }
 
 func encodeChange(c state.Change) ringEntry {
@@ -115,7 +115,7 @@
 	return p.Role == wire.RoleEntry || e.kind == changeRecord || e.host == p.Host
 }
 
-// publish takes in the changes up to index and wakes the subscribers.
+// publish appends the changes up to index and wakes the subscribers.
 func (h *hub) publish(index, config ident.Index, changes []state.Change) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -124,62 +124,62 @@
 	}
 	if len(h.ring) > ringSize+ringSlack {
 		h.floor = h.ring[len(h.ring)-ringSize-1].index
-		// Changes of one index may be split by the cut; the floor makes such
-		// subscribers take a full copy instead of half of them.
+		// Truncation may split the changes of one index; the floor makes subscribers
+		// below it receive a full copy instead of a part of them.
 		h.ring = slices.Clone(h.ring[len(h.ring)-ringSize:])
 	}
 	h.index = index
 	if config > h.config {
 		h.config = config
-		h.track(config)
+		h.trackRollout(config)
 	}
 	if len(changes) == 0 {
 		return
 	}
 	for _, s := range h.subs {
-		s.poke()
+		s.wake()
 	}
 }
 
-// track begins to watch the spread of a record change.
-func (h *hub) track(config ident.Index) {
+// trackRollout starts to track the rollout of a record change.
+func (h *hub) trackRollout(config ident.Index) {
 	now := time.Now()
-	h.inForce = append(h.inForce, force{index: config, at: now, last: now, open: len(h.subs)})
-	if len(h.inForce) > trackedForce {
-		h.inForce = h.inForce[1:]
+	h.rollouts = append(h.rollouts, rollout{index: config, begun: now, lastConfirm: now, pending: len(h.subs)})
+	if len(h.rollouts) > maxRollouts {
+		h.rollouts = h.rollouts[1:]
 	}
 }
 
-func (s *sub) poke() {
+func (s *subscriber) wake() {
 	select {
-	case s.wake <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// reset tells that the state was replaced by a snapshot: what lies between is
-// not known, so every subscriber behind it gets a full copy.
+// reset is called when a snapshot has replaced the state: the changes in between are
+// not known, so every subscriber behind index gets a full copy.
 func (h *hub) reset(index ident.Index) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ring, h.floor, h.index = nil, index, index
 	for _, s := range h.subs {
-		s.poke()
+		s.wake()
 	}
 }
 
-// subscribe starts to send changes after from on conn.
+// subscribe starts to send the changes after from on conn.
 func (h *hub) subscribe(conn *rpc.Conn, p wire.Process, from ident.Index) wire.SubscribeResult {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := &sub{conn: conn, process: p, at: from, told: from, wake: make(chan struct{}, 1), heard: time.Now()}
+	s := &subscriber{conn: conn, process: p, position: from, lastSent: from, wakeup: make(chan struct{}, 1), lastSeen: time.Now()}
 	h.subs[conn] = s
-	s.poke()
+	s.wake()
 	go h.feed(s)
 	return wire.SubscribeResult{To: ident.Position{Index: h.index}, Reset: from < h.floor || from == 0}
 }
 
-// unsubscribe forgets a closed connection.
+// unsubscribe removes the subscriber of a closed connection.
 func (h *hub) unsubscribe(conn *rpc.Conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -187,10 +187,10 @@
 }
 
 // feed sends to one subscriber until its connection closes.
-func (h *hub) feed(s *sub) {
+func (h *hub) feed(s *subscriber) {
 	for {
 		select {
-		case <-s.wake:
+		case <-s.wakeup:
 		case <-s.conn.Closed():
 			return
 		}
@@ -201,10 +201,10 @@
 	}
 }
 
-// catchUp sends everything behind the subscriber's position.
-func (h *hub) catchUp(s *sub) error {
+// catchUp sends everything after the subscriber's position.
+func (h *hub) catchUp(s *subscriber) error {
 	for {
-		p, full := h.next(s)
+		p, full := h.nextPage(s)
 		if full {
 			if err := h.sendAll(s); err != nil {
 				return err
@@ -223,30 +223,30 @@
 
 // advance records that everything up to index was written to the subscriber's
 // connection. The answer to its next beat carries that index.
-func (h *hub) advance(s *sub, to ident.Index) {
+func (h *hub) advance(s *subscriber, to ident.Index) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s.at, s.told = to, to
+	s.position, s.lastSent = to, to
 }
 
-// next returns the next page for a subscriber, nil if it is up to date, or
-// asks for a full copy.
-func (h *hub) next(s *sub) (p *page, full bool) {
+// nextPage returns the next page for a subscriber, nil if it is up to date, or
+// full if it needs a full copy.
+func (h *hub) nextPage(s *subscriber) (p *page, full bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if s.at < h.floor || (s.at == 0 && h.index > 0) {
+	if s.position < h.floor || (s.position == 0 && h.index > 0) {
 		return nil, true
 	}
-	if s.at >= h.index {
+	if s.position >= h.index {
 		return nil, false
 	}
-	first, _ := slices.BinarySearchFunc(h.ring, s.at+1, func(e ringEntry, i ident.Index) int {
+	first, _ := slices.BinarySearchFunc(h.ring, s.position+1, func(e ringEntry, i ident.Index) int {
 		if e.index < i {
 			return -1
 		}
 		return 1
 	})
-	p = &page{From: s.told, To: h.index}
+	p = &page{From: s.lastSent, To: h.index}
 	for i := first; i < len(h.ring); i++ {
 		e := h.ring[i]
 		// A page ends between two indexes, never inside one.
@@ -260,15 +260,15 @@
 	}
 	if len(p.Changes) == 0 {
 		// Nothing that concerns this subscriber: the answer to its next beat
-		// moves its index, which saves a message per change and process.
-		s.at = p.To
+		// advances its index, which saves a message per change and process.
+		s.position = p.To
 		return nil, false
 	}
 	return p, false
 }
 
 // sendAll sends a full copy in pages.
-func (h *hub) sendAll(s *sub) error {
+func (h *hub) sendAll(s *subscriber) error {
 	to, all, err := h.copyAll()
 	if err != nil {
 		return err
@@ -295,7 +295,7 @@
 	return nil
 }
 
-// beat takes in a subscriber's sign of life.
+// beat records a subscriber's heartbeat and returns its position.
 func (h *hub) beat(conn *rpc.Conn, b wire.Beat) wire.BeatResult {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -304,47 +304,47 @@
 		return wire.BeatResult{Unknown: true}
 	}
 	now := time.Now()
-	s.heard = now
+	s.lastSeen = now
 	s.acked = max(s.acked, b.Index)
 	if b.Config > s.config {
-		h.confirm(s, s.config, b.Config, now)
+		h.confirmRollouts(s, s.config, b.Config, now)
 		s.config = b.Config
 	}
-	h.remember(b)
-	return wire.BeatResult{Index: s.at, Entries: h.entries}
+	h.mergeBeat(b)
+	return wire.BeatResult{Index: s.position, Entries: h.entries}
 }
 
-// confirm counts a subscriber that brought record changes into force.
-func (h *hub) confirm(s *sub, from, to ident.Index, now time.Time) {
-	for i := range h.inForce {
-		f := &h.inForce[i]
-		if f.index > from && f.index <= to && f.open > 0 {
-			f.open--
-			f.last, f.slowest = now, s.process
+// confirmRollouts counts a subscriber as done for the record changes after from up to to.
+func (h *hub) confirmRollouts(s *subscriber, from, to ident.Index, now time.Time) {
+	for i := range h.rollouts {
+		r := &h.rollouts[i]
+		if r.index > from && r.index <= to && r.pending > 0 {
+			r.pending--
+			r.lastConfirm, r.slowest = now, s.process
 		}
 	}
 }
 
-// remember keeps a beat for the leader. Reports of one process that were not
-// forwarded yet are joined: an earlier one may hold what the later one lacks.
-func (h *hub) remember(b wire.Beat) {
+// mergeBeat keeps a beat for the leader. Reports of one incarnation that were not
+// forwarded yet are merged: an earlier one may hold what the later one lacks.
+func (h *hub) mergeBeat(b wire.Beat) {
 	k := processKey{b.Process.Role, b.Process.Host}
 	old, ok := h.beats[k]
 	if ok && old.Report != nil && old.Process.Incarnation == b.Process.Incarnation {
 		if b.Report == nil {
 			b.Report = old.Report
 		} else {
-			joined := *b.Report
-			joined.Cached = append(slices.Clone(old.Report.Cached), joined.Cached...)
-			joined.Loaded = append(slices.Clone(old.Report.Loaded), joined.Loaded...)
-			joined.Full = joined.Full || old.Report.Full
-			b.Report = &joined
+			merged := *b.Report
+			merged.Cached = append(slices.Clone(old.Report.Cached), merged.Cached...)
+			merged.Loaded = append(slices.Clone(old.Report.Loaded), merged.Loaded...)
+			merged.Full = merged.Full || old.Report.Full
+			b.Report = &merged
 		}
 	}
 	h.beats[k] = b
 }
 
-// takeBeats returns and forgets the beats heard since the last call.
+// takeBeats removes and returns the beats received since the last call.
 func (h *hub) takeBeats() []wire.Beat {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -356,8 +356,9 @@
 	return out
 }
 
-// putBack returns beats that could not be forwarded, under any newer ones.
-func (h *hub) putBack(beats []wire.Beat) {
+// restoreBeats puts back beats that could not be forwarded; newer ones of the same process
+// are merged over them.
+func (h *hub) restoreBeats(beats []wire.Beat) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, b := range beats {
@@ -365,18 +366,18 @@
 		newer, ok := h.beats[k]
 		h.beats[k] = b
 		if ok {
-			h.remember(newer)
+			h.mergeBeat(newer)
 		}
 	}
 }
 
-// status describes the subscribers and the spread of changes.
+// status returns the subscribers and the rollouts for operators.
 func (h *hub) status() ([]wire.SubscriberStatus, []wire.InForce) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var subs []wire.SubscriberStatus
 	for _, s := range h.subs {
-		subs = append(subs, wire.SubscriberStatus{Process: s.process, Index: s.acked, Config: s.config, Silent: time.Since(s.heard).Seconds()})
+		subs = append(subs, wire.SubscriberStatus{Process: s.process, Index: s.acked, Config: s.config, Silent: time.Since(s.lastSeen).Seconds()})
 	}
 	slices.SortFunc(subs, func(a, b wire.SubscriberStatus) int {
 		if a.Process.Host < b.Process.Host {
@@ -384,11 +385,11 @@
 		}
 		return 1
 	})
-	var fs []wire.InForce
-	for _, f := range h.inForce {
-		fs = append(fs, wire.InForce{Index: f.index, Seconds: f.last.Sub(f.at).Seconds(), Slowest: f.slowest, Open: f.open})
+	var out []wire.InForce
+	for _, r := range h.rollouts {
+		out = append(out, wire.InForce{Index: r.index, Seconds: r.lastConfirm.Sub(r.begun).Seconds(), Slowest: r.slowest, Open: r.pending})
 	}
-	return subs, fs
+	return subs, out
 }
 
 func (h *hub) setEntries(n int) {
--- a/internal/app/control/large_test.go
+++ b/internal/app/control/large_test.go
@@ -20,18 +20,18 @@
 const (
 	hostLink    = 12.5e6 / scale // bytes per second: 100 Mbit/s
 	largeText   = 750_000 / scale
-	acknowledge = 5 * time.Second // operators wait no longer for a change
-	repeatAfter = time.Second     // nor for one host
+	ackLimit    = 5 * time.Second // how long operators wait for a change
+	repeatAfter = time.Second     // how long they wait for one host
 )
 
-// newSlowSite starts eight hosts, five of them voters, whose connections share one
-// host's link, and waits until the group is whole and nothing moves any more.
-func newSlowSite(t *testing.T) *site {
+// newSlowGroup starts eight hosts, five of them voters, whose connections share one
+// host's link, and waits until the group is complete and its state no longer changes.
+func newSlowGroup(t *testing.T) *testGroup {
 	t.Helper()
 	const hosts = 8
 	link := fake.NewLink(hostLink)
 	var relays []*fake.Relay
-	for range hosts { // before ports are looked for that are free, or they may take one of those
+	for range hosts { // before free ports are chosen, or a relay may take one of those
 		r, err := fake.NewRelay("")
 		if err != nil {
 			t.Fatal(err)
@@ -40,57 +40,57 @@
 		r.SetLink(link)
 		relays = append(relays, r)
 	}
-	s := unstartedSite(t, hosts)
-	s.roster = roster.DefaultConfig(2)
-	s.listen, s.addrs = s.addrs, nil
+	g := unstartedGroup(t, hosts)
+	g.roster = roster.DefaultConfig(2)
+	g.listen, g.addrs = g.addrs, nil
 	for i, r := range relays {
-		r.SetTarget(s.listen[i])
-		s.addrs = append(s.addrs, r.Addr())
+		r.SetTarget(g.listen[i])
+		g.addrs = append(g.addrs, r.Addr())
 	}
-	s.seeds = s.addrs[:3]
-	s.startAll()
+	g.seeds = g.addrs[:3]
+	g.startAll()
 	last, since := "", time.Now()
-	s.eventually("formed and calm", func() bool {
-		now := fmt.Sprint(s.view(), s.lastIndex())
-		if now != last || !s.settled(8) {
-			last, since = now, time.Now()
+	g.eventually("formed and idle", func() bool {
+		sample := fmt.Sprint(g.leaderView(), g.lastIndex())
+		if sample != last || !g.complete(8) {
+			last, since = sample, time.Now()
 		}
 		return time.Since(since) > time.Second
 	})
-	return s
+	return g
 }
 
-// view tells the term of each host and which host leads there, -1 if none.
-func (s *site) view() string {
+// leaderView returns the term of each host and the leader that it knows, -1 if none.
+func (g *testGroup) leaderView() string {
 	var b strings.Builder
-	for _, c := range s.hosts {
+	for _, c := range g.hosts {
 		st := c.Status()
-		leader := slices.IndexFunc(s.hosts, func(c *Control) bool { return c.ID() == st.Leader })
+		leader := slices.IndexFunc(g.hosts, func(c *Control) bool { return c.ID() == st.Leader })
 		fmt.Fprintf(&b, " %d/%d", st.Term, leader)
 	}
 	return b.String()
 }
 
-// lastIndex returns the end of the longest log.
-func (s *site) lastIndex() uint64 {
+// lastIndex returns the last index of the longest log.
+func (g *testGroup) lastIndex() uint64 {
 	var last uint64
-	for _, c := range s.hosts {
+	for _, c := range g.hosts {
 		last = max(last, c.Status().LastIndex)
 	}
 	return last
 }
 
-// watch samples the view until the function that it returns is called. That one
+// watchLeaders samples leaderView until the returned function is called, which
 // returns the changes, one a line.
-func (s *site) watch() func() string {
-	begin, was := time.Now(), s.view()
+func (g *testGroup) watchLeaders() func() string {
+	begin, previous := time.Now(), g.leaderView()
 	stop, done := make(chan struct{}), make(chan string)
 	go func() {
 		var changes strings.Builder
 		for {
-			if is := s.view(); is != was {
-				fmt.Fprintf(&changes, "\nafter %.2f s:%s", time.Since(begin).Seconds(), is)
-				was = is
+			if current := g.leaderView(); current != previous {
+				fmt.Fprintf(&changes, "\nafter %.2f s:%s", time.Since(begin).Seconds(), current)
+				previous = current
 			}
 			select {
 			case <-stop:
@@ -106,7 +106,7 @@
 	}
 }
 
-// largeDeploy is a deployment of largeText bytes with n routes, most of it random.
+// largeDeploy returns a deployment of largeText bytes with n routes, most of it random.
 func largeDeploy(t *testing.T, version uint64, n int) state.Deploy {
 	t.Helper()
 	type route struct{ Name, Host, PathPrefix string }
@@ -114,7 +114,7 @@
 	hex := func(n int) string {
 		return string(bytes.Map(func(r rune) rune { return rune("0123456789abcdef"[rnd.IntN(16)]) }, make([]byte, n)))
 	}
-	const fixed = 92 // bytes of a route around what fills its prefix
+	const fixed = 92 // bytes of an encoded route without the variable part of its prefix
 	var routes []route
 	for range n {
 		routes = append(routes, route{hex(16), hex(32) + ".test", "/" + hex(largeText/n-fixed)})
@@ -126,21 +126,20 @@
 	return state.Deploy{Version: version, Text: string(text)}
 }
 
-// Symptom: an operator's large change is never acknowledged, leaders change every
-// 1.5 s, and no host has failed.
-// Sequence: eight hosts at 100 Mbit/s; a deployment of 750 kB is put in force, and
-// again at the next host after each second without an answer.
-// Cause: the append to the seven others fills the leader's link for 0.6 s and its
-// heartbeats wait behind it, so voters campaign. The next leader starts anew, with
-// one more copy of the change in the log for each repeat.
+// Guards against a large change that is never acknowledged while leaders change every
+// 1.5 s, although no host has failed. Eight hosts share 100 Mbit/s; a deployment of 750 kB is
+// put in force, and sent again to the next host after each second without an answer. The
+// append to the seven others fills the leader's link for 0.6 s. If heartbeats wait behind it,
+// voters campaign, and the next leader starts from the beginning, with one more copy of the
+// change in the log for each repeat.
 func TestLargeDeploymentsOverSlowLinksKeepTheLeader(t *testing.T) {
-	s := newSlowSite(t)
-	changes := s.watch()
+	g := newSlowGroup(t)
+	changes := g.watchLeaders()
 	for v, host := uint64(1), 0; v <= 3 && !t.Failed(); v++ {
 		d, acked, begin := largeDeploy(t, v, int(v)*1400/scale), false, time.Now()
-		for ; !acked && time.Since(begin) < acknowledge; host++ {
-			ctx, cancel := context.WithTimeout(t.Context(), min(repeatAfter, acknowledge-time.Since(begin)))
-			res, err := s.hosts[host%len(s.hosts)].Deploy(ctx, "op", d)
+		for ; !acked && time.Since(begin) < ackLimit; host++ {
+			ctx, cancel := context.WithTimeout(t.Context(), min(repeatAfter, ackLimit-time.Since(begin)))
+			res, err := g.hosts[host%len(g.hosts)].Deploy(ctx, "op", d)
 			acked = err == nil && res.Code == state.OK
 			if !acked {
 				<-ctx.Done()
@@ -149,7 +148,7 @@
 		}
 		t.Logf("version %d of %d bytes: %.2f s", v, len(d.Text), time.Since(begin).Seconds())
 		if !acked {
-			t.Errorf("version %d is not acknowledged within %v", v, acknowledge)
+			t.Errorf("version %d is not acknowledged within %v", v, ackLimit)
 		}
 	}
 	if c := changes(); c != "" {
@@ -157,18 +156,17 @@
 	}
 }
 
-// Symptom: a group whose operators ask at several hosts carries one large change
-// several times over its links and keeps it as often in its log.
-// Sequence: one deployment of 750 kB is sent at all eight hosts at the same time.
-// Cause: a repeat of what is in the log, but not decided yet, is appended once more.
+// Guards against one large change that is sent over the links and kept in the log several
+// times because operators repeat it at several hosts. One deployment of 750 kB is sent to all
+// eight hosts at once. The fault is to append again what is in the log but not committed yet.
 func TestRepeatedDeploymentIsDecidedOnce(t *testing.T) {
-	s := newSlowSite(t)
-	before := s.lastIndex()
+	g := newSlowGroup(t)
+	before := g.lastIndex()
 	d := largeDeploy(t, 1, 2800/scale)
 	var wg sync.WaitGroup
-	for i, c := range s.hosts {
+	for i, c := range g.hosts {
 		wg.Go(func() {
-			ctx, cancel := context.WithTimeout(t.Context(), acknowledge)
+			ctx, cancel := context.WithTimeout(t.Context(), ackLimit)
 			defer cancel()
 			if res, err := c.Deploy(ctx, "op", d); err != nil || res.Code != state.OK {
 				t.Errorf("host %d answers %q, %v", i, res.Code, err)
@@ -176,7 +174,7 @@
 		})
 	}
 	wg.Wait()
-	if grown := s.lastIndex() - before; grown != 1 {
+	if grown := g.lastIndex() - before; grown != 1 {
 		t.Errorf("the log grew by %d entries", grown)
 	}
 }
--- a/internal/app/control/loop.go
+++ b/internal/app/control/loop.go
@@ -19,65 +19,65 @@
 )
 
 const (
-	tickEvery     = 50 * time.Millisecond
+	tickInterval  = 50 * time.Millisecond
 	electionTicks = 8 // 400 to 800 ms of silence before a follower campaigns
-	// startTicks is that from the start of a process until it hears a leader: 150 to
-	// 300 ms. After a kill of all processes a leader leads 0.19 s after they are back,
-	// 0.51 s with electionTicks (means of BenchmarkLeadAfterKillOfAll).
-	startTicks    = 3
-	voterBeat     = 2 // ticks between heartbeats to voters
-	observerBeat  = 10
-	taskQueue     = 8192
-	taskBatch     = 1024 // proposals gathered for one sync
-	snapshotEvery = 10000
+	// startTicks replaces electionTicks from the start of a process until it receives a
+	// leader's message: 150 to 300 ms. After a kill of all processes a leader leads 0.19 s
+	// after the restart, 0.51 s with electionTicks (means of BenchmarkLeadAfterKillOfAll).
+	startTicks             = 3
+	voterHeartbeatTicks    = 2 // ticks between heartbeats to voters
+	observerHeartbeatTicks = 10
+	taskQueue              = 8192
+	taskBatch              = 1024 // proposals collected for one sync
+	snapshotEntries        = 10000
 	// snapshotBytes bounds the log between snapshots where commands are large:
 	// whole deployments of 100 kB each would fill a disk of 64 MB long before
-	// snapshotEvery. Two segments of this size and a snapshot stay under 16 MB.
+	// snapshotEntries. Two segments of this size and a snapshot stay under 16 MB.
 	snapshotBytes = 4 << 20
 )
 
-// Outcomes of proposals that did not reach the log or whose fate is open.
+// Errors of proposals that did not reach the log or whose outcome is unknown.
 var (
 	ErrNoLeader = errors.New("no leader is known; the control group may have lost its quorum")
 	ErrLost     = errors.New("the leader changed before the command was decided; it may or may not be carried out")
 	ErrStopped  = errors.New("this control host is stopping")
 )
 
-// loop owns consensus, state and planner.
+// loop owns the consensus node, the state and the planner.
 type loop struct {
-	id     consensus.NodeID
-	addr   string                                // under which other hosts reach this one
-	metAt  func(consensus.NodeID) (string, bool) // where an identity was met
-	log    zerolog.Logger
-	node   *consensus.Node
-	st     *state.State
-	disk   port.Disk
-	send   func([]consensus.Message)
-	hub    *hub
-	duties *duties
-	met    *metrics
-	watch  watch
-	fatal  func(error)
-	group  ident.Group
-	begun  time.Time // of this process, with its steady clock
+	id          consensus.NodeID
+	addr        string                                // advertised to other hosts
+	contactAddr func(consensus.NodeID) (string, bool) // address at which a host was last contacted
+	log         zerolog.Logger
+	node        *consensus.Node
+	st          *state.State
+	disk        port.Disk
+	send        func([]consensus.Message)
+	hub         *hub
+	duties      *duties
+	met         *metrics
+	watch       leaderWatch
+	fatal       func(error)
+	group       ident.Group
+	startedAt   time.Time // of this process, with its monotonic clock
 
 	leader  atomic.Uint64 // leader known to node, for readers outside the loop
 	tasks   chan func()
 	stopped chan struct{}
 	done    chan struct{}
 
-	waiters    map[uint64]waiter
-	reads      map[uint64]chan<- uint64
-	nextRead   uint64
-	applyWaits []applyWait
-	sinceSnap  int
-	sinceBytes int // of commands, since the last snapshot
-	snapping   bool
+	waiters      map[uint64]waiter
+	reads        map[uint64]chan<- uint64
+	nextRead     uint64
+	applyWaits   []applyWait
+	sinceSnap    int
+	sinceBytes   int // of commands, since the last snapshot
+	snapshotting bool
 
-	onDeploy   func(state.Deployment)
-	toldDeploy ident.Index
-	onPoison   func(poison.Registry)
-	toldPoison poison.Registry
+	onDeploy       func(state.Deployment)
+	notifiedDeploy ident.Index
+	onPoison       func(poison.Registry)
+	notifiedPoison poison.Registry
 
 	rosterUsed    bool
 	rosterCfg     roster.Config
@@ -86,7 +86,7 @@
 	rosterChecked time.Time
 }
 
-// applyWait is released when the state has reached index.
+// applyWait is a caller that waits until the state has reached index.
 type applyWait struct {
 	index uint64
 	ch    chan<- struct{}
@@ -102,20 +102,20 @@
 	}
 }
 
-// run is the loop itself.
+// run is the main loop.
 func (l *loop) run() {
 	defer close(l.done)
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
-		var begun time.Time
+		var begin time.Time
 		select {
 		case f := <-l.tasks:
-			begun = time.Now()
+			begin = time.Now()
 			f()
-			l.gather()
+			l.runQueued()
 		case <-tick.C:
-			begun = time.Now()
+			begin = time.Now()
 			l.node.Tick()
 			l.duties.tick(time.Now(), l)
 			l.tickRoster(time.Now())
@@ -123,16 +123,16 @@
 			return
 		}
 		l.node.Flush()
-		if !l.drain() {
+		if !l.processReady() {
 			return
 		}
-		l.watch.turn(begun, time.Now(), l.node)
+		l.watch.observeTurn(begin, time.Now(), l.node)
 	}
 }
 
-// gather runs the tasks that are waiting already, so that one sync serves all
+// runQueued runs the tasks that are waiting already, so that one sync serves all
 // their proposals.
-func (l *loop) gather() {
+func (l *loop) runQueued() {
 	for range taskBatch {
 		select {
 		case f := <-l.tasks:
@@ -143,16 +143,16 @@
 	}
 }
 
-// drain carries out everything that the node has ready. It returns false after
-// a disk failure: nothing may be acknowledged any more.
-func (l *loop) drain() bool {
+// processReady handles everything that the node has ready. It returns false after
+// a disk failure; nothing may be acknowledged after that.
+func (l *loop) processReady() bool {
 	for {
 		rd := l.node.Ready()
 		if rd.Empty() {
 			l.leader.Store(uint64(l.node.Leader()))
 			return true
 		}
-		if err := l.carryOut(rd); err != nil {
+		if err := l.handleReady(rd); err != nil {
 			l.fatal(err)
 			return false
 		}
@@ -161,9 +161,9 @@
 	}
 }
 
-// carryOut keeps the order that consensus relies on: early messages, sync,
+// handleReady keeps the order that consensus relies on: early messages, sync,
 // other messages, apply.
-func (l *loop) carryOut(rd consensus.Ready) error {
+func (l *loop) handleReady(rd consensus.Ready) error {
 	l.send(rd.Early)
 	if rd.Snapshot != nil {
 		if err := l.install(*rd.Snapshot); err != nil {
@@ -182,9 +182,9 @@
 	for _, r := range rd.Reads {
 		if ch, ok := l.reads[r.Context]; ok {
 			delete(l.reads, r.Context)
-			// A reader asks again while an answer may be on its way, so two can
-			// come; it takes the first. Symptom of a plain send: after a
-			// partition heals, the second answer blocks the loop for ever.
+			// A reader repeats its request while an answer may be on its way, so a second
+			// answer can arrive; the reader uses the first. With a plain send, the second
+			// answer would block the loop forever after a partition heals.
 			select {
 			case ch <- r.Index:
 			default:
@@ -194,7 +194,7 @@
 	return l.apply(rd.Committed)
 }
 
-// install takes over a snapshot from the leader.
+// install replaces the state with a snapshot from the leader.
 func (l *loop) install(s consensus.Snapshot) error {
 	st, err := state.Decode(s.Data)
 	if err != nil {
@@ -205,8 +205,8 @@
 	}
 	l.st = st
 	l.sinceSnap, l.sinceBytes = 0, 0
-	l.noteDeployment()
-	l.notePoison()
+	l.notifyDeployment()
+	l.notifyPoison()
 	for i, w := range l.waiters {
 		if i <= s.Index {
 			delete(l.waiters, i)
@@ -233,7 +233,7 @@
 	l.sinceSnap += len(entries)
 	last := ident.Index(entries[len(entries)-1].Index)
 	l.hub.publish(last, l.st.Config(), changes)
-	if (l.sinceSnap >= snapshotEvery || l.sinceBytes >= snapshotBytes) && !l.snapping {
+	if (l.sinceSnap >= snapshotEntries || l.sinceBytes >= snapshotBytes) && !l.snapshotting {
 		l.snapshot(uint64(last))
 	}
 	return nil
@@ -252,16 +252,16 @@
 	res, changes := l.st.Apply(ident.Index(e.Index), c)
 	l.met.applied.Inc()
 	l.sinceBytes += len(e.Data)
-	l.noteDeployment()
-	l.notePoison()
+	l.notifyDeployment()
+	l.notifyPoison()
 	l.audit(c, res)
 	l.duties.applied(c, res)
 	l.answer(e, res)
 	return changes, nil
 }
 
-// audit writes changes that people ask about to the log as well; the state
-// keeps only the newest ones.
+// audit also logs the changes that operators look for, since the state keeps only
+// the newest ones.
 func (l *loop) audit(c state.Command, res state.Result) {
 	ev := l.log.Info().Str("by", c.By).Uint64("index", uint64(res.Index)).Str("code", string(res.Code))
 	switch {
@@ -285,9 +285,9 @@
 	}
 }
 
-// snapshot encodes a copy of the state in the background and then compacts.
+// snapshot encodes a copy of the state in the background, then compacts the log.
 func (l *loop) snapshot(index uint64) {
-	l.snapping = true
+	l.snapshotting = true
 	l.sinceSnap, l.sinceBytes = 0, 0
 	copied := l.st.Clone()
 	members := l.node.Status().Membership
@@ -299,7 +299,7 @@
 }
 
 func (l *loop) compact(index uint64, members consensus.Membership, data []byte, err error, begin time.Time) {
-	l.snapping = false
+	l.snapshotting = false
 	if err != nil {
 		l.fatal(oops.Wrapf(err, "encode state"))
 		return
@@ -327,11 +327,11 @@
 	l.applyWaits = kept
 }
 
-// now returns the time for commands: the time of day at the start of this process,
-// advanced by the steady clock. The state lets what it keeps for an hour end by
-// these times. Symptom with the time of day itself: after a step ahead the outcome
-// of a keyed request is dropped at once, and a repeat of it runs a second time.
-func (l *loop) now() time.Time { return l.begun.Add(time.Since(l.begun)).UTC() }
+// now returns the time for commands: the wall-clock time at the start of this process,
+// advanced by the monotonic clock. The state uses these times to expire what it keeps for
+// an hour. With the wall clock itself, a step forward drops the outcome of a keyed request
+// at once, and a repeat of the request runs a second time.
+func (l *loop) now() time.Time { return l.startedAt.Add(time.Since(l.startedAt)).UTC() }
 
 // readIndex returns an index that a quorum confirmed to be the newest.
 func (l *loop) readIndex(ctx context.Context) (uint64, error) {
@@ -364,15 +364,15 @@
 	}
 }
 
-// dropOldReads forgets reads that were given up: contexts grow, so old ones
-// cannot be answered usefully any more.
+// dropOldReads removes reads whose callers gave up: contexts increase, so answers to the
+// oldest are no longer useful.
 func (l *loop) dropOldReads() {
-	const most = 4096
-	if len(l.reads) <= most {
+	const maxReads = 4096
+	if len(l.reads) <= maxReads {
 		return
 	}
 	for c := range l.reads {
-		if c+most < l.nextRead {
+		if c+maxReads < l.nextRead {
 			delete(l.reads, c)
 		}
 	}
@@ -408,8 +408,8 @@
 	return i, l.waitApplied(ctx, i)
 }
 
-// with runs f in the loop and waits for it.
-func (l *loop) with(f func()) error {
+// do runs f in the loop and waits until it has returned.
+func (l *loop) do(f func()) error {
 	done := make(chan struct{})
 	if !l.post(func() { f(); close(done) }) {
 		return ErrStopped
--- a/internal/app/control/memory.go
+++ b/internal/app/control/memory.go
@@ -5,20 +5,20 @@
 	"github.com/cassiapass/cassiapass/internal/port"
 )
 
-// memory is in the place of the log on disk where a host has no disk. Such a host
-// never votes and is made anew at each start, so nothing that it forgets was promised
-// to anybody; consensus itself holds what it needs while it runs. A temporary folder
-// in its place fails where the platform's allows neither locks nor renames: control
-// then starts every 0.3 s, all day, and never runs.
-type memory struct{}
+// volatileDisk replaces the log on disk on a host that has no disk. Such a host
+// never votes and gets a new identity at each start, so nothing that it forgets was
+// promised to any other host; consensus itself holds what it needs while it runs. A
+// temporary folder instead fails on a platform that allows neither locks nor renames in
+// it: control then restarts every 0.3 s and never runs.
+type volatileDisk struct{}
 
 // Save implements port.Disk.
-func (memory) Save([]consensus.Entry, *consensus.HardState) error { return nil }
+func (volatileDisk) Save([]consensus.Entry, *consensus.HardState) error { return nil }
 
 // SaveSnapshot implements port.Disk.
-func (memory) SaveSnapshot(consensus.Snapshot) error { return nil }
+func (volatileDisk) SaveSnapshot(consensus.Snapshot) error { return nil }
 
 // Close implements port.Disk.
-func (memory) Close() error { return nil }
+func (volatileDisk) Close() error { return nil }
 
-var _ port.Disk = memory{}
+var _ port.Disk = volatileDisk{}
--- a/internal/app/control/metrics.go
+++ b/internal/app/control/metrics.go
@@ -8,15 +8,15 @@
 	"github.com/cassiapass/cassiapass/internal/core/consensus"
 )
 
-// metrics are the measurements of one control host.
+// metrics holds the metrics of one control host.
 type metrics struct {
 	set         *vm.Set
 	syncs       *vm.Counter
 	applied     *vm.Counter
 	syncSeconds *vm.Summary
 	planSeconds *vm.Summary
-	turnSeconds *vm.Summary // of the loop
-	waitSeconds *vm.Summary // of messages to other control hosts, until they are written
+	turnSeconds *vm.Summary // turns of the loop
+	waitSeconds *vm.Summary // waits of messages to other control hosts until they are written
 }
 
 func newMetrics(s *vm.Set, count *rpc.Counter, status func() consensus.Status, subscribers func() int) *metrics {
--- a/internal/app/control/peers.go
+++ b/internal/app/control/peers.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	peerQueue   = 1024 // messages waiting for one peer; more are dropped and sent anew by consensus
+	peerQueue   = 1024 // messages queued per link; more are dropped and resent by consensus
 	redialPause = 100 * time.Millisecond
-	// dialPeer bounds a dial. During a partition a dial's first packet is lost and
-	// repeated only after a second: a short bound finds the healed path sooner.
-	dialPeer    = 400 * time.Millisecond
-	peerSilence = 2 * time.Second // an idle-looking connection to a peer is closed and dialled anew
+	// dialTimeout bounds a dial. During a partition the first packet of a dial is lost and
+	// sent again only after a second: a short limit finds the healed path sooner.
+	dialTimeout    = 400 * time.Millisecond
+	maxPeerSilence = 2 * time.Second // a silent connection to a peer is closed and dialled again
 )
 
 // peers holds the outgoing connections to the other control hosts.
@@ -30,38 +30,39 @@
 	self  consensus.NodeID
 	log   zerolog.Logger
 	waits *vm.Summary // seconds that messages wait until they are written
-	// met returns where an identity was met, which goes before what the log says.
-	// Symptom without it: hosts whose addresses changed while all were dark never elect
-	// a leader; only one could have noted the new addresses in the log.
-	met func(consensus.NodeID) (string, bool)
+	// contactAddr returns the address at which a host was last contacted, which takes
+	// precedence over the address in the log. Without this, hosts whose addresses all changed
+	// while they were down never elect a leader, and only a leader can record the new
+	// addresses in the log.
+	contactAddr func(consensus.NodeID) (string, bool)
 
 	mu      sync.Mutex
 	peers   map[consensus.NodeID]*peer
-	learned map[consensus.NodeID]consensus.Member // told by the leader, beyond this host's own membership
+	learned map[consensus.NodeID]consensus.Member // reported by the leader, beyond this host's own membership
 }
 
 // peer is one other control host.
 type peer struct {
-	addr string
-	ways [lanes]*way
-	stop chan struct{}
+	addr  string
+	links [classCount]*peerLink
+	stop  chan struct{}
 }
 
 func newPeer(addr string) *peer {
 	pr := &peer{addr: addr, stop: make(chan struct{})}
-	for l := range pr.ways {
-		pr.ways[l] = &way{queue: make(chan queued, peerQueue)}
+	for class := range pr.links {
+		pr.links[class] = &peerLink{queue: make(chan queued, peerQueue)}
 	}
 	return pr
 }
 
-func newPeers(self consensus.NodeID, sec rpc.Security, count *rpc.Counter, log zerolog.Logger, waits *vm.Summary, met func(consensus.NodeID) (string, bool)) *peers {
-	return &peers{sec: sec, count: count, self: self, log: log, waits: waits, met: met, peers: map[consensus.NodeID]*peer{}}
+func newPeers(self consensus.NodeID, sec rpc.Security, count *rpc.Counter, log zerolog.Logger, waits *vm.Summary, contactAddr func(consensus.NodeID) (string, bool)) *peers {
+	return &peers{sec: sec, count: count, self: self, log: log, waits: waits, contactAddr: contactAddr, peers: map[consensus.NodeID]*peer{}}
 }
 
-// learn takes in members that the leader told. Symptom without it: a host that
-// joins never catches up. Its log, or the first snapshot that it gets, names
-// members of long ago, so it cannot answer a leader that joined later.
+// learn records the members that the leader reported. Without this, a host that
+// joins never catches up: its log, or the first snapshot that it gets, names the
+// members of an earlier time, so it cannot answer a leader that joined later.
 func (p *peers) learn(ms []consensus.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,7 +72,7 @@
 	}
 }
 
-// update makes the connections match the membership and what was learned.
+// update opens and closes connections to match the membership and the learned members.
 func (p *peers) update(m consensus.Membership) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,21 +94,21 @@
 		}
 		pr := newPeer(p.addr(mem))
 		p.peers[mem.ID] = pr
-		for _, w := range pr.ways {
-			go p.pump(pr, w)
+		for _, link := range pr.links {
+			go p.writeLoop(pr, link)
 		}
 	}
 }
 
-// addr returns where a member is reached.
+// addr returns the address of a member.
 func (p *peers) addr(m consensus.Member) string {
-	if addr, met := p.met(m.ID); met {
+	if addr, ok := p.contactAddr(m.ID); ok {
 		return addr
 	}
 	return m.Addr
 }
 
-// send queues messages. A full queue drops: consensus repeats what matters.
+// send queues messages. A full queue drops them: consensus resends what matters.
 func (p *peers) send(msgs []consensus.Message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,7 +119,7 @@
 			continue
 		}
 		select {
-		case pr.ways[laneOf(m)].queue <- queued{m, now}:
+		case pr.links[classOf(m)].queue <- queued{m, now}:
 		default:
 		}
 	}
@@ -129,34 +130,35 @@
 	p.update(consensus.Membership{})
 }
 
-// pump writes the queue of one lane to its connection, several messages at a time when
-// they have gathered.
-func (p *peers) pump(pr *peer, w *way) {
-	defer w.drop()
+// writeLoop writes the queue of a link to its connection, several messages at a time if
+// several are queued.
+func (p *peers) writeLoop(pr *peer, link *peerLink) {
+	defer link.disconnect()
 	for {
 		select {
 		case <-pr.stop:
 			return
-		case first := <-w.queue:
-			batch := w.gather(first.msg)
-			conn, err := p.connect(pr, w)
+		case first := <-link.queue:
+			batch := link.collectBatch(first.msg)
+			conn, err := p.connect(pr, link)
 			if err != nil {
 				pr.pause()
 				continue
 			}
 			if err := conn.Notify(wire.MethodRaft, batch); err != nil {
-				w.drop()
+				link.disconnect()
 			}
-			p.noteWait(pr, first, batch)
+			p.observeWait(pr, first, batch)
 		}
 	}
 }
 
-// noteWait measures how long the first message of a batch waited until it was written.
-func (p *peers) noteWait(pr *peer, first queued, batch []consensus.Message) {
+// observeWait measures how long the first message of a batch waited until it was written,
+// and logs a wait over slowThreshold.
+func (p *peers) observeWait(pr *peer, first queued, batch []consensus.Message) {
 	waited := time.Since(first.at)
 	p.waits.Update(waited.Seconds())
-	if waited <= slow {
+	if waited <= slowThreshold {
 		return
 	}
 	entries := 0
@@ -174,14 +176,14 @@
 }
 
 // connect returns the open connection or dials. A peer never sends anything on
-// this connection by itself, so silence is found by probing: something between
-// the two ends may have lost track of a connection that looks open.
-func (p *peers) connect(pr *peer, w *way) (*rpc.Conn, error) {
-	w.dialling.Lock()
-	defer w.dialling.Unlock()
-	w.mu.Lock()
-	conn := w.conn
-	w.mu.Unlock()
+// this connection by itself, so a probe detects silence: a device between
+// the two ends may have dropped a connection that still looks open.
+func (p *peers) connect(pr *peer, link *peerLink) (*rpc.Conn, error) {
+	link.dialling.Lock()
+	defer link.dialling.Unlock()
+	link.mu.Lock()
+	conn := link.conn
+	link.mu.Unlock()
 	if conn != nil {
 		select {
 		case <-conn.Closed():
@@ -189,23 +191,23 @@
 			return conn, nil
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), dialPeer)
+	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
-	conn, err := rpc.Dial(ctx, pr.addr, p.sec, p.count, refuseAll)
+	conn, err := rpc.Dial(ctx, pr.addr, p.sec, p.count, ignoreCalls)
 	if err != nil {
 		return nil, err
 	}
-	w.mu.Lock()
-	w.conn = conn
-	w.mu.Unlock()
+	link.mu.Lock()
+	link.conn = conn
+	link.mu.Unlock()
 	go probe(conn)
 	return conn, nil
 }
 
-// probe closes a connection that does not answer. One on which a large message goes out
-// piece by piece is left alone: the probe waits behind it.
+// probe closes a connection that does not answer. It leaves a connection alone that is
+// making progress with a large message, because the probe waits behind it.
 func probe(conn *rpc.Conn) {
-	t := time.NewTicker(peerSilence / 2)
+	t := time.NewTicker(maxPeerSilence / 2)
 	defer t.Stop()
 	for {
 		select {
@@ -213,11 +215,11 @@
 			return
 		case <-t.C:
 		}
-		begun := time.Now()
-		ctx, cancel := context.WithTimeout(context.Background(), peerSilence/2)
+		begin := time.Now()
+		ctx, cancel := context.WithTimeout(context.Background(), maxPeerSilence/2)
 		err := conn.Call(ctx, wire.MethodPing, nil, nil)
 		cancel()
-		if err != nil && !conn.Sending(begun) {
+		if err != nil && !conn.Sending(begin) {
 			conn.Close()
 			return
 		}
@@ -232,7 +234,7 @@
 	if !ok {
 		return ErrNoLeader
 	}
-	conn, err := p.connect(pr, pr.ways[callLane(method)])
+	conn, err := p.connect(pr, pr.links[classOfCall(method)])
 	if err != nil {
 		return err
 	}
@@ -241,9 +243,9 @@
 
 // dialOnce opens a connection for one call; the caller closes it.
 func (p *peers) dialOnce(ctx context.Context, addr string) (*rpc.Conn, error) {
-	return rpc.Dial(ctx, addr, p.sec, p.count, refuseAll)
+	return rpc.Dial(ctx, addr, p.sec, p.count, ignoreCalls)
 }
 
-func refuseAll(context.Context, *rpc.Conn, string, json.RawMessage) (any, error) {
+func ignoreCalls(context.Context, *rpc.Conn, string, json.RawMessage) (any, error) {
 	return nil, nil
 }
--- a/internal/app/control/poison.go
+++ b/internal/app/control/poison.go
@@ -13,45 +13,45 @@
 // Poison returns the quarantined requests, as this host has applied them.
 func (c *Control) Poison() poison.Registry {
 	var r poison.Registry
-	_ = c.loop.with(func() { r = c.loop.st.Poison() })
+	_ = c.loop.do(func() { r = c.loop.st.Poison() })
 	return r
 }
 
-// NotePoison notes in the log which requests are quarantined and which no more. It returns
-// nil when that is decided; a host that does not lead decides nothing.
+// NotePoison records in the log which requests are quarantined and which no longer are. It
+// returns nil when the change is committed, and an error on a host that does not lead.
 func (c *Control) NotePoison(ctx context.Context, n poison.Note) error {
 	_, err := c.proposeHere(ctx, state.Command{By: "control", Poison: &n})
 	return err
 }
 
-// notePoison tells the owner of a change of the quarantined requests. It runs in the loop.
-func (l *loop) notePoison() {
+// notifyPoison calls onPoison if the quarantined requests have changed. It runs in the loop.
+func (l *loop) notifyPoison() {
 	r := l.st.Poison()
-	if l.onPoison == nil || r.Equal(l.toldPoison) {
+	if l.onPoison == nil || r.Equal(l.notifiedPoison) {
 		return
 	}
-	l.toldPoison = r
+	l.notifiedPoison = r
 	l.onPoison(r)
 }
 
-// QuarantinePath is where operators list and lift quarantined requests. The fingerprint
-// follows it for a lift.
+// QuarantinePath is the path at which operators list and lift quarantined requests. For a
+// lift, the fingerprint follows it.
 const QuarantinePath = "/v1/quarantine"
 
 // ServeQuarantine answers an operator with the quarantined requests: a []poison.Case.
 func (c *Control) ServeQuarantine(x echo.Context) error {
 	cases := []poison.Case{}
-	if err := c.current(x, func(s *state.State) { cases = append(cases, s.Poison().Cases...) }); err != nil {
+	if err := c.readCurrent(x, func(s *state.State) { cases = append(cases, s.Poison().Cases...) }); err != nil {
 		return nil
 	}
 	return x.JSON(http.StatusOK, cases)
 }
 
-// ServeLift lets a quarantined request run again, on an operator's word.
+// ServeLift lifts the quarantine of a request on behalf of an operator.
 func (c *Control) ServeLift(x echo.Context) error {
 	f, err := poison.Parse(x.Param("fingerprint"))
 	if err != nil {
 		return x.JSON(http.StatusBadRequest, Failure{Code: string(state.Invalid), Message: err.Error()})
 	}
-	return c.decide(x, state.Command{By: operator(x), Poison: &poison.Note{Lift: []poison.Fingerprint{f}}})
+	return c.decide(x, state.Command{By: operatorName(x), Poison: &poison.Note{Lift: []poison.Fingerprint{f}}})
 }
--- a/internal/app/control/propose.go
+++ b/internal/app/control/propose.go
@@ -9,22 +9,22 @@
 	"github.com/cassiapass/cassiapass/internal/core/state"
 )
 
-// waiter is who waits for the entry at one index.
+// waiter holds the callers that wait for the entry at one index.
 type waiter struct {
 	term uint64
 	chs  []chan<- proposalResult
-	// deploy is the deployment that is proposed there, nil for other commands.
+	// deploy is the deployment proposed at that index, nil for other commands.
 	deploy *state.Deploy
 }
 
-// answer tells all who wait. Each has room for one answer.
+// answer sends the result to all callers. Each channel must have room for it.
 func (w waiter) answer(r proposalResult) {
 	for _, ch := range w.chs {
 		ch <- r
 	}
 }
 
-// proposalResult is what became of a proposal.
+// proposalResult is the outcome of a proposal.
 type proposalResult struct {
 	res state.Result
 	err error
@@ -32,7 +32,7 @@
 
 // propose appends a command if this host leads.
 func (l *loop) propose(c state.Command, ch chan<- proposalResult) {
-	if c.Deploy != nil && l.sentBefore(*c.Deploy, ch) {
+	if c.Deploy != nil && l.joinRepeated(*c.Deploy, ch) {
 		return
 	}
 	c.Time = l.now()
@@ -49,8 +49,8 @@
 	l.wait(index, ch, c.Deploy)
 }
 
-// wait lets ch wait for the entry at index, of this term. An entry of an earlier term
-// that it takes the place of is lost.
+// wait registers ch for the entry at index, in this term. Callers that wait for an entry of
+// an earlier term at the same index get ErrLost.
 func (l *loop) wait(index uint64, ch chan<- proposalResult, d *state.Deploy) {
 	if old, ok := l.waiters[index]; ok {
 		old.answer(proposalResult{err: ErrLost})
@@ -58,13 +58,13 @@
 	l.waiters[index] = waiter{term: l.node.Term(), chs: []chan<- proposalResult{ch}, deploy: d}
 }
 
-// sentBefore answers a deployment that was decided already and lets ch wait for one that
-// is under way; it returns false for a new one.
-// Operators repeat a change each second at another host until it is acknowledged. Symptom
-// without this: each repeat of a large one is one more copy in the log of a leader that
-// is still sending the first.
-func (l *loop) sentBefore(d state.Deploy, ch chan<- proposalResult) bool {
-	// What was decided stays so: the answer is right even on a host that leads no more.
+// joinRepeated answers a deployment that is already committed and makes ch wait for one that
+// is already proposed; it returns false for a new one.
+// Operators repeat a change each second at another host until it is acknowledged. Without
+// this, each repeat of a large change adds a copy to the log of a leader that is still
+// sending the first.
+func (l *loop) joinRepeated(d state.Deploy, ch chan<- proposalResult) bool {
+	// A committed deployment stays committed: the answer is correct even on a former leader.
 	if res, known := l.st.Deployed(d); known {
 		ch <- proposalResult{res: res}
 		return true
@@ -79,7 +79,7 @@
 	return false
 }
 
-// answer tells who waits for an entry that was applied.
+// answer sends the result of an applied entry to the callers that wait for it.
 func (l *loop) answer(e consensus.Entry, res state.Result) {
 	w, ok := l.waiters[e.Index]
 	if !ok {
@@ -87,15 +87,15 @@
 	}
 	delete(l.waiters, e.Index)
 	if w.term != e.Term {
-		// Another leader's entry took the place of the proposed one.
+		// An entry of another leader replaced the proposed one.
 		w.answer(proposalResult{err: ErrLost})
 		return
 	}
 	w.answer(proposalResult{res: res})
 }
 
-// proposeQuietly appends a command whose result only the planner looks at.
-func (l *loop) proposeQuietly(c state.Command) {
+// proposeInternal proposes a command of control itself; no caller waits for its result.
+func (l *loop) proposeInternal(c state.Command) {
 	c.Time = l.now()
 	c.By = "control"
 	data, err := json.Marshal(c)
--- a/internal/app/control/race_off_test.go
+++ b/internal/app/control/race_off_test.go
@@ -2,5 +2,5 @@
 
 package control
 
-// scale divides nothing without the race detector.
+// scale is 1 without the race detector.
 const scale = 1
--- a/internal/app/control/watch.go
+++ b/internal/app/control/watch.go
@@ -8,56 +8,58 @@
 	"github.com/cassiapass/cassiapass/internal/core/consensus"
 )
 
-// slow is from which duration on a turn of the loop, or the wait of a message before it
-// is written, is logged: half of the shortest silence after which a follower campaigns.
-const slow = electionTicks * tickEvery / 2
+// slowThreshold is the duration above which a turn of the loop, or the wait of a message
+// before it is written, is logged: half of the shortest silence after which a follower
+// campaigns.
+const slowThreshold = electionTicks * tickInterval / 2
 
-// watch tells in the log why leadership moves: who campaigned after how long a silence,
-// and how a leader learned that it leads no more. Without it a change of leader that
-// nothing outside explains cannot be told apart from a host that stood still, one that
-// was not reached and one that heard too late.
-type watch struct {
-	log   zerolog.Logger
-	met   *metrics
-	seen  consensusView
-	heard time.Time // when a message of a leader of the present term was taken in last
+// leaderWatch logs why leadership changes: which host campaigned after how long a silence,
+// and why a leader stepped down. Without it, a change of leader that no external event
+// explains cannot be attributed to a host that was suspended, one that was unreachable or
+// one that received messages too late.
+type leaderWatch struct {
+	log         zerolog.Logger
+	met         *metrics
+	view        consensusView
+	lastMessage time.Time // when the last message of a leader of the present term arrived
 }
 
-// consensusView is what is compared after each turn of the loop.
+// consensusView is the part of the consensus state that is compared after each turn of the
+// loop.
 type consensusView struct {
 	role consensus.Role
 	term uint64
 	lead consensus.NodeID
 }
 
-// message notes a sign of life of the leader.
-func (w *watch) message(now time.Time, m consensus.Message) {
-	if m.Term < w.seen.term {
+// observeMessage records when a message of the leader arrived.
+func (w *leaderWatch) observeMessage(now time.Time, m consensus.Message) {
+	if m.Term < w.view.term {
 		return
 	}
 	switch m.Type {
 	case consensus.MsgAppend, consensus.MsgHeartbeat, consensus.MsgSnapshot:
-		w.heard = now
+		w.lastMessage = now
 	}
 }
 
-// turn notes how long a turn of the loop took and what it changed.
-func (w *watch) turn(begun, now time.Time, node *consensus.Node) {
-	took := now.Sub(begun)
+// observeTurn measures a turn of the loop and logs a change of the consensus state.
+func (w *leaderWatch) observeTurn(begin, now time.Time, node *consensus.Node) {
+	took := now.Sub(begin)
 	w.met.turnSeconds.Update(took.Seconds())
-	if took > slow {
+	if took > slowThreshold {
 		w.log.Warn().Dur("took", took).Msg("control_loop_slow")
 	}
 	next := consensusView{role: node.Role(), term: node.Term(), lead: node.Leader()}
-	if next != w.seen {
-		w.tell(now, next)
-		w.seen = next
+	if next != w.view {
+		w.logChange(now, next)
+		w.view = next
 	}
 }
 
-// tell logs a change.
-func (w *watch) tell(now time.Time, next consensusView) {
-	before := w.seen
+// logChange logs a change of role, term or leader.
+func (w *leaderWatch) logChange(now time.Time, next consensusView) {
+	before := w.view
 	if before.role == consensus.Leader && next.role != consensus.Leader {
 		cause := "no_quorum_answered"
 		if next.term > before.term {
@@ -68,8 +70,8 @@
 	switch {
 	case next.role == consensus.PreCandidate || next.role == consensus.Candidate:
 		ev := w.log.Info().Stringer("role", next.role).Uint64("term", next.term).Uint64("leader", uint64(before.lead))
-		if !w.heard.IsZero() {
-			ev.Dur("silent", now.Sub(w.heard))
+		if !w.lastMessage.IsZero() {
+			ev.Dur("silent", now.Sub(w.lastMessage))
 		}
 		ev.Msg("campaign_begun")
 	case next.lead != consensus.None && next.lead != before.lead:
