--- a/internal/app/lab/allowances/compare.go
+++ b/internal/app/lab/allowances/compare.go
@@ -8,54 +8,54 @@
 	"time"
 )
 
-// ways are what is compared, the one in production last.
-var ways = []struct {
+// methods are the methods compared, the one used in production last.
+var methods = []struct {
 	name  string
-	build func(*world) way
+	build func(*simulation) method
 }{
-	{"even parts", newEven},
-	{"parts by demand", newParts},
-	{"shared chance", newShare},
+	{"even parts", newEvenSplit},
+	{"parts by demand", newDemandSplit},
+	{"shared chance", newSharedChance},
 	{"shared, fallback", newProduction},
 }
 
-// Outcome is how a way did in one scenario, over all its runs.
+// Outcome is the result of a method in one scenario, over all its runs.
 type Outcome struct {
-	Way      string  `json:"way"`
+	Method   string  `json:"way"`
 	Scenario string  `json:"scenario"`
 	Entries  int     `json:"entries"`
-	Refused  float64 `json:"refused"`  // share of what an ideal bucket admits that was refused
-	Excess   float64 `json:"excess"`   // largest use beyond rate and burst in a window, as a share of what is tolerated
+	Refused  float64 `json:"refused"`  // refused share of the units that an ideal token bucket admits
+	Excess   float64 `json:"excess"`   // largest use beyond rate and burst in a window, as a share of the tolerated excess
 	Messages float64 `json:"messages"` // a second and entry
 	Bytes    float64 `json:"bytes"`    // a second and entry
 }
 
-// use is what was admitted of one customer.
-type use struct {
+// admission is an admitted request of one customer.
+type admission struct {
 	at    time.Time
 	units float64
 }
 
-// run plays one way in one scenario.
-func run(build func(*world) way, sc scenario, entries int, seed uint64) Outcome {
-	w := newWorld(sc, entries, seed)
+// run plays one method in one scenario.
+func run(build func(*simulation) method, sc scenario, entries int, seed uint64) Outcome {
+	w := newSimulation(sc, entries, seed)
 	x := build(w)
-	var log [customers][]use
+	var log [customers][]admission
 	ideal := make([]bucket, customers)
 	for c, l := range w.limits {
 		ideal[c] = bucket{level: l.burst, rate: l.rate, burst: l.burst, at: w.now}
 	}
 	var o Outcome
-	var wished, missed float64
-	spans := map[[2]int]*[2]float64{} // customer and window to what the ideal and the way admit
-	for w.since() < length {
-		w.turn(x)
+	var admissible, missed float64
+	spans := map[[2]int]*[2]float64{} // by customer and window: units that the ideal bucket and the method admit
+	for w.elapsed() < length {
+		w.applyScenario(x)
 		for c, l := range w.limits {
 			ideal[c].set(w.now, l.rate, l.burst)
 		}
 		w.deliver()
 		w.arrivals(func(entry, c int, cost float64) {
-			key := [2]int{c, int(w.since() / window)}
+			key := [2]int{c, int(w.elapsed() / window)}
 			if spans[key] == nil {
 				spans[key] = &[2]float64{}
 			}
@@ -63,10 +63,10 @@
 			if ideal[c].take(w.now, cost) {
 				s[0] += cost
 			}
-			x.ask(entry, c, cost, func(admitted bool) {
+			x.request(entry, c, cost, func(admitted bool) {
 				if admitted {
 					s[1] += cost
-					log[c] = append(log[c], use{w.now, cost})
+					log[c] = append(log[c], admission{w.now, cost})
 				}
 			})
 		})
@@ -74,15 +74,15 @@
 		w.now = w.now.Add(step)
 	}
 	for _, s := range spans {
-		wished += s[0]
+		admissible += s[0]
 		missed += max(0, s[0]-s[1])
 	}
-	o.Refused = missed / wished
+	o.Refused = missed / admissible
 	for c, l := range w.limits {
-		if sc.fall && c == 0 {
-			continue // windows over two limits have no one bound
+		if sc.limitCut && c == 0 {
+			continue // a window that spans the change of the limit has no single bound
 		}
-		o.Excess = max(o.Excess, worst(log[c], l))
+		o.Excess = max(o.Excess, maxExcess(log[c], l))
 	}
 	messages, bytes := x.traffic()
 	perEntry := length.Seconds() * float64(w.entries)
@@ -90,32 +90,34 @@
 	return o
 }
 
-// worst returns the largest use in a window beyond a limit, as a share of what is tolerated.
-func worst(log []use, l limit) float64 {
+// maxExcess returns the largest use beyond a limit in any window, as a share of the tolerated
+// excess.
+func maxExcess(log []admission, l limit) float64 {
 	base := l.rate*window.Seconds() + l.burst
-	first, sum, most := 0, 0.0, 0.0
+	first, sum, maxSum := 0, 0.0, 0.0
 	for _, u := range log {
 		sum += u.units
 		for ; u.at.Sub(log[first].at) > window; first++ {
 			sum -= log[first].units
 		}
-		most = max(most, sum)
+		maxSum = max(maxSum, sum)
 	}
-	return max(0, most-base) / (excess*base + slack)
+	return max(0, maxSum-base) / (toleratedShare*base + toleratedUnits)
 }
 
-// Compare plays all ways in all scenarios; done is called after each run.
+// Compare plays all methods in all scenarios with the seeds 1 to seeds. It calls done after
+// each run, one call at a time.
 func Compare(entries, seeds int, done func(played, of int)) []Outcome {
 	all := scenarios()
-	out := make([]Outcome, len(ways)*len(all))
+	out := make([]Outcome, len(methods)*len(all))
 	var mu sync.Mutex
 	var wait sync.WaitGroup
-	slots := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxParallelRuns)
 	played := 0
-	for i, x := range ways {
+	for i, x := range methods {
 		for j, sc := range all {
 			wait.Go(func() {
-				o := Outcome{Way: x.name, Scenario: sc.name, Entries: entries}
+				o := Outcome{Method: x.name, Scenario: sc.name, Entries: entries}
 				for seed := range seeds {
 					slots <- struct{}{}
 					r := run(x.build, sc, entries, uint64(seed)+1)
@@ -137,15 +139,15 @@
 	return out
 }
 
-// atOnce is how many runs are played at a time.
-const atOnce = 4
+// maxParallelRuns is the number of runs played concurrently.
+const maxParallelRuns = 4
 
-// Table prints outcomes.
+// Table writes one line for each outcome.
 func Table(out io.Writer, all []Outcome) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "WAY\tSCENARIO\tREFUSED WITHIN\tLARGEST EXCESS\tMESSAGES/S\tBYTES/S")
 	for _, o := range all {
-		fmt.Fprintf(t, "%s\t%s\t%.2f %%\t%.0f %% of tolerated\t%.1f\t%.0f\n", o.Way, o.Scenario, 100*o.Refused, 100*o.Excess, o.Messages, o.Bytes)
+		fmt.Fprintf(t, "%s\t%s\t%.2f %%\t%.0f %% of tolerated\t%.1f\t%.0f\n", o.Method, o.Scenario, 100*o.Refused, 100*o.Excess, o.Messages, o.Bytes)
 	}
 	return t.Flush()
 }
--- a/internal/app/lab/allowances/compare_test.go
+++ b/internal/app/lab/allowances/compare_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a way in production that goes beyond what is tolerated, or refuses much of
-// what customers may use.
-func TestProductionKeepsToAllowancesInEveryScenario(t *testing.T) {
+// Guards against a production method that admits more than the tolerated excess, or that
+// refuses much of what customers may use.
+func TestProductionMethodKeepsAllowancesInEveryScenario(t *testing.T) {
 	is := is.New(t)
 	for _, sc := range scenarios() {
 		o := run(newProduction, sc, 31, 3)
@@ -20,16 +20,17 @@
 	}
 }
 
-// The comparison would show a way that divides allowances evenly: it refuses most.
-func TestEvenPartsRefuseWhatCustomersMayUse(t *testing.T) {
+// Guards against a comparison that does not show the cost of dividing allowances evenly, the
+// method that refuses most.
+func TestEvenSplitRefusesWhatCustomersMayUse(t *testing.T) {
 	is := is.New(t)
-	is.True(run(newEven, scenarios()[0], 31, 3).Refused > 0.1)
+	is.True(run(newEvenSplit, scenarios()[0], 31, 3).Refused > 0.1)
 }
 
 func TestTable(t *testing.T) {
 	is := is.New(t)
 	var b strings.Builder
-	is.NoErr(Table(&b, []Outcome{{Way: "w", Scenario: "s", Refused: 0.5, Excess: 0.25}}))
+	is.NoErr(Table(&b, []Outcome{{Method: "w", Scenario: "s", Refused: 0.5, Excess: 0.25}}))
 	is.True(strings.Contains(b.String(), "50.00 %"))
 	is.True(strings.Contains(b.String(), "25 % of tolerated"))
 }
--- a/internal/app/lab/allowances/doc.go
+++ b/internal/app/lab/allowances/doc.go
@@ -1,4 +1,4 @@
-// Package allowances compares ways to keep customers within what they may use over many
-// entries, on virtual time: the one that runs in production, by its own code, and others
-// that are built here for the comparison only.
+// Package allowances compares methods of enforcing customers' allowances (rate and burst)
+// across many entries, in virtual time. The method used in production runs its production
+// code; the others are implemented here for the comparison only.
 package allowances
--- a/internal/app/lab/allowances/ways.go
+++ b/internal/app/lab/allowances/methods.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// way is one way to keep customers within their limits.
-type way interface {
-	// ask decides on a request, at once or later.
-	ask(entry, customer int, cost float64, decide func(admitted bool))
-	// step runs what is due in a step.
+// method enforces the limits of customers across entries.
+type method interface {
+	// request decides whether to admit a request, immediately or later.
+	request(entry, customer int, cost float64, decide func(admitted bool))
+	// step runs the periodic work that is due.
 	step()
-	restart() // all processes begin anew
-	relimit() // the limits changed
-	grow()    // the number of entries changed
+	restart()     // all processes restart and lose their state
+	applyLimits() // called after the limits changed
+	addEntries()  // called after the number of entries grew
 	traffic() (messages int, bytes int)
 }
 
-// counter counts messages as they would be encoded.
+// counter counts messages and their bytes as JSON.
 type counter struct{ messages, bytes int }
 
-func (c *counter) sent(v any) {
+func (c *counter) countMessage(v any) {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		panic(err) // plain values always encode
@@ -31,7 +31,8 @@
 
 func (c *counter) traffic() (int, int) { return c.messages, c.bytes }
 
-// bucket is a token bucket that a request larger than it empties.
+// bucket is a token bucket. A full bucket also admits a request that costs more than its
+// burst; its level is then negative.
 type bucket struct {
 	level, rate, burst float64
 	at                 time.Time
@@ -53,32 +54,32 @@
 	b.level = min(b.level, burst)
 }
 
-// even gives each entry the same part of each limit.
-type even struct {
+// evenSplit gives each entry an equal share of each limit.
+type evenSplit struct {
 	counter
-	w       *world
+	w       *simulation
 	buckets [][]bucket // by entry and customer
 }
 
-func newEven(w *world) way {
-	e := &even{w: w}
+func newEvenSplit(w *simulation) method {
+	e := &evenSplit{w: w}
 	e.restart()
 	return e
 }
 
-func (e *even) restart() {
+func (e *evenSplit) restart() {
 	e.buckets = nil
-	e.grow()
+	e.addEntries()
 }
 
-func (e *even) grow() {
+func (e *evenSplit) addEntries() {
 	for len(e.buckets) < e.w.entries {
 		e.buckets = append(e.buckets, make([]bucket, customers))
 	}
-	e.relimit()
+	e.applyLimits()
 }
 
-func (e *even) relimit() {
+func (e *evenSplit) applyLimits() {
 	n := float64(e.w.entries)
 	for i := range e.buckets {
 		for c, l := range e.w.limits {
@@ -91,43 +92,44 @@
 	}
 }
 
-func (e *even) ask(entry, customer int, cost float64, decide func(bool)) {
+func (e *evenSplit) request(entry, customer int, cost float64, decide func(bool)) {
 	decide(e.buckets[entry][customer].take(e.w.now, cost))
 }
 
-func (e *even) step() {}
+func (e *evenSplit) step() {}
 
-// parts gives entries parts of each limit by their demand, as leases.
-type parts struct {
+// demandSplit gives entries leased shares of each limit in proportion to their demand.
+type demandSplit struct {
 	counter
-	w       *world
+	w       *simulation
 	buckets [][]bucket
 	demand  [][]float64   // units since the last report
-	average [][]float64   // units a second, as the leader knows
-	lease   [][]time.Time // end of the entry's part
-	granted [][]float64   // rate that the leader counts as given
+	average [][]float64   // units a second, smoothed, as reported to the leader
+	lease   [][]time.Time // end of the entry's lease; zero without one
+	granted [][]float64   // share of the limit granted last, by the leader's record
 	next    time.Time
 }
 
 const (
-	reportEvery = 200 * time.Millisecond
-	leaseFor    = time.Second
-	// evenShare is the part of a limit that is divided evenly, for first requests.
+	reportInterval = 200 * time.Millisecond
+	leaseDuration  = time.Second
+	// evenShare is the share of a limit that is divided evenly, so that an entry without
+	// a lease can admit the first requests of a customer.
 	evenShare = 0.2
 )
 
-func newParts(w *world) way {
-	p := &parts{w: w}
+func newDemandSplit(w *simulation) method {
+	p := &demandSplit{w: w}
 	p.restart()
 	return p
 }
 
-func (p *parts) restart() {
+func (p *demandSplit) restart() {
 	p.buckets, p.demand, p.average, p.lease, p.granted = nil, nil, nil, nil, nil
-	p.grow()
+	p.addEntries()
 }
 
-func (p *parts) grow() {
+func (p *demandSplit) addEntries() {
 	for len(p.buckets) < p.w.entries {
 		p.buckets = append(p.buckets, make([]bucket, customers))
 		p.demand = append(p.demand, make([]float64, customers))
@@ -139,74 +141,75 @@
 		for c := range p.buckets[i] {
 			if p.buckets[i][c].at.IsZero() {
 				p.buckets[i][c].at = p.w.now
-				p.part(i, c, evenShare/float64(p.w.entries))
+				p.setShare(i, c, evenShare/float64(p.w.entries))
 			}
 		}
 	}
 }
 
-// part sets an entry's part of a customer's limit.
-func (p *parts) part(entry, customer int, share float64) {
+// setShare sets an entry's share of a customer's limit.
+func (p *demandSplit) setShare(entry, customer int, share float64) {
 	l := p.w.limits[customer]
 	p.buckets[entry][customer].set(p.w.now, l.rate*share, l.burst*share)
 }
 
-func (p *parts) relimit() {
+func (p *demandSplit) applyLimits() {
 	for i := range p.buckets {
 		for c := range p.buckets[i] {
-			p.part(i, c, evenShare/float64(p.w.entries))
+			p.setShare(i, c, evenShare/float64(p.w.entries))
 		}
 	}
 }
 
-func (p *parts) ask(entry, customer int, cost float64, decide func(bool)) {
+func (p *demandSplit) request(entry, customer int, cost float64, decide func(bool)) {
 	p.demand[entry][customer] += cost
 	decide(p.buckets[entry][customer].take(p.w.now, cost))
 }
 
-func (p *parts) step() {
+func (p *demandSplit) step() {
 	for i := range p.lease {
 		for c, end := range p.lease[i] {
 			if !end.IsZero() && p.w.now.After(end) {
 				p.lease[i][c] = time.Time{}
-				p.part(i, c, evenShare/float64(p.w.entries))
+				p.setShare(i, c, evenShare/float64(p.w.entries))
 			}
 		}
 	}
 	if p.w.now.Before(p.next) {
 		return
 	}
-	p.next = p.w.now.Add(reportEvery)
+	p.next = p.w.now.Add(reportInterval)
 	for i := range p.demand {
-		if p.w.reaches(i) {
+		if p.w.reachesLeader(i) {
 			p.report(i)
 		}
 	}
-	p.w.later(p.divide)
+	p.w.afterLatency(p.divide)
 }
 
-func (p *parts) report(entry int) {
-	told := map[int]float64{}
+func (p *demandSplit) report(entry int) {
+	averages := map[int]float64{}
 	for c, units := range p.demand[entry] {
-		p.average[entry][c] = 0.6*p.average[entry][c] + 0.4*units/reportEvery.Seconds()
+		p.average[entry][c] = 0.6*p.average[entry][c] + 0.4*units/reportInterval.Seconds()
 		p.demand[entry][c] = 0
 		if p.average[entry][c] > 1 {
-			told[c] = p.average[entry][c]
+			averages[c] = p.average[entry][c]
 		}
 	}
-	if len(told) > 0 {
-		p.sent(told)
+	if len(averages) > 0 {
+		p.countMessage(averages)
 	}
 }
 
-// divide gives each entry its part of the limits. Parts of entries that are not reached are
-// kept for them until their leases end; what others lose is given on at the next division.
-func (p *parts) divide() {
+// divide grants each entry its share of the limits. Shares granted to entries that the leader
+// does not reach stay reserved for them; what other entries lose is granted again at the next
+// division.
+func (p *demandSplit) divide() {
 	for c := range p.w.limits {
 		total, kept := 0.0, 0.0
 		for i := range p.average {
 			total += p.average[i][c]
-			if !p.w.reaches(i) {
+			if !p.w.reachesLeader(i) {
 				kept += p.granted[i][c]
 			}
 		}
@@ -214,25 +217,25 @@
 			continue
 		}
 		for i := range p.average {
-			if !p.w.reaches(i) {
+			if !p.w.reachesLeader(i) {
 				continue
 			}
 			share := evenShare/float64(p.w.entries) + (1-evenShare)*max(0, 1-kept)*p.average[i][c]/total
 			p.granted[i][c] = share
-			p.sent(map[int]float64{c: share})
-			p.w.later(func() {
-				p.lease[i][c] = p.w.now.Add(leaseFor)
-				p.part(i, c, share)
+			p.countMessage(map[int]float64{c: share})
+			p.w.afterLatency(func() {
+				p.lease[i][c] = p.w.now.Add(leaseDuration)
+				p.setShare(i, c, share)
 			})
 		}
 	}
 }
 
-// share has entries admit requests with a chance that the leader tells them, by one bucket
-// for what all of them used.
-type share struct {
+// sharedChance has entries admit requests with a probability that the leader computes from one
+// token bucket, which it charges with the use of all entries.
+type sharedChance struct {
 	counter
-	w       *world
+	w       *simulation
 	used    [][]float64 // units since the last report
 	asked   [][]float64
 	chance  [][]float64
@@ -241,21 +244,21 @@
 	next    time.Time
 }
 
-func newShare(w *world) way {
-	s := &share{w: w}
+func newSharedChance(w *simulation) method {
+	s := &sharedChance{w: w}
 	s.restart()
 	return s
 }
 
-func (s *share) restart() {
+func (s *sharedChance) restart() {
 	s.used, s.asked, s.chance, s.buckets, s.demand = nil, nil, nil, nil, make([]float64, customers)
 	for _, l := range s.w.limits {
 		s.buckets = append(s.buckets, bucket{level: l.burst / 2, rate: l.rate, burst: l.burst, at: s.w.now})
 	}
-	s.grow()
+	s.addEntries()
 }
 
-func (s *share) grow() {
+func (s *sharedChance) addEntries() {
 	for len(s.used) < s.w.entries {
 		s.used = append(s.used, make([]float64, customers))
 		s.asked = append(s.asked, make([]float64, customers))
@@ -267,13 +270,13 @@
 	}
 }
 
-func (s *share) relimit() {
+func (s *sharedChance) applyLimits() {
 	for c, l := range s.w.limits {
 		s.buckets[c].set(s.w.now, l.rate, l.burst)
 	}
 }
 
-func (s *share) ask(entry, customer int, cost float64, decide func(bool)) {
+func (s *sharedChance) request(entry, customer int, cost float64, decide func(bool)) {
 	s.asked[entry][customer] += cost
 	admitted := s.w.r.Float64() < s.chance[entry][customer]
 	if admitted {
@@ -282,38 +285,38 @@
 	decide(admitted)
 }
 
-func (s *share) step() {
+func (s *sharedChance) step() {
 	if s.w.now.Before(s.next) {
 		return
 	}
-	s.next = s.w.now.Add(reportEvery)
+	s.next = s.w.now.Add(reportInterval)
 	asked := make([]float64, customers)
 	for i := range s.used {
-		if !s.w.reaches(i) {
+		if !s.w.reachesLeader(i) {
 			continue
 		}
-		told := map[int]float64{}
+		report := map[int]float64{}
 		for c := range s.used[i] {
 			s.buckets[c].take(s.w.now, 0)
 			s.buckets[c].level -= s.used[i][c]
 			asked[c] += s.asked[i][c]
 			if s.asked[i][c] > 0 {
-				told[c] = s.used[i][c]
+				report[c] = s.used[i][c]
 			}
 			s.used[i][c], s.asked[i][c] = 0, 0
 		}
-		if len(told) > 0 {
-			s.sent(told)
+		if len(report) > 0 {
+			s.countMessage(report)
 		}
 	}
-	s.w.later(func() { s.tell(asked) })
+	s.w.afterLatency(func() { s.sendChances(asked) })
 }
 
-// tell works out the chances: what the bucket may give over the next half second, against
-// what is asked for.
-func (s *share) tell(asked []float64) {
+// sendChances computes the admission probabilities and sends those that changed: what the bucket
+// can admit over the next half second divided by the demand.
+func (s *sharedChance) sendChances(asked []float64) {
 	for c := range s.w.limits {
-		s.demand[c] = 0.6*s.demand[c] + 0.4*asked[c]/reportEvery.Seconds()
+		s.demand[c] = 0.6*s.demand[c] + 0.4*asked[c]/reportInterval.Seconds()
 		b := &s.buckets[c]
 		b.take(s.w.now, 0)
 		chance := 1.0
@@ -321,9 +324,9 @@
 			chance = min(1, max(0, (b.rate+2*b.level)/s.demand[c]))
 		}
 		for i := range s.chance {
-			if s.w.reaches(i) && s.chance[i][c] != chance {
-				s.sent(map[int]float64{c: chance})
-				s.w.later(func() { s.chance[i][c] = chance })
+			if s.w.reachesLeader(i) && s.chance[i][c] != chance {
+				s.countMessage(map[int]float64{c: chance})
+				s.w.afterLatency(func() { s.chance[i][c] = chance })
 			}
 		}
 	}
--- a/internal/app/lab/allowances/plot.go
+++ b/internal/app/lab/allowances/plot.go
@@ -9,8 +9,8 @@
 	"github.com/cassiapass/cassiapass/internal/adapter/plots"
 )
 
-// Plot draws a hot customer's use in each second against its rate, for each way, while the
-// leader is silent for 3 s.
+// Plot writes a plot of a hot customer's use in each second against its rate to file, for
+// each method, in a run in which the leader is silent for 3 s.
 func Plot(file string, entries int) error {
 	const hot = 1
 	sc := scenarios()[2]
@@ -18,16 +18,16 @@
 	p.Title.Text = "use of a customer that asks for six times its usual from 2 s to 13 s; no leader from 5 s to 8 s"
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "units a second"
 	var rate float64
-	for i, x := range ways {
-		w := newWorld(sc, entries, 1)
+	for i, x := range methods {
+		w := newSimulation(sc, entries, 1)
 		y := x.build(w)
 		rate = w.limits[hot].rate
 		used := make([]float64, int(length/time.Second))
-		for ; w.since() < length; w.now = w.now.Add(step) {
+		for ; w.elapsed() < length; w.now = w.now.Add(step) {
 			w.deliver()
 			w.arrivals(func(entry, c int, cost float64) {
-				y.ask(entry, c, cost, func(admitted bool) {
-					if s := int(w.since() / time.Second); admitted && c == hot && s < len(used) {
+				y.request(entry, c, cost, func(admitted bool) {
+					if s := int(w.elapsed() / time.Second); admitted && c == hot && s < len(used) {
 						used[s] += cost
 					}
 				})
@@ -42,7 +42,7 @@
 			return err
 		}
 	}
-	if err := plots.AddLine(p, len(ways), "allowance", plotter.XYs{{X: 0, Y: rate}, {X: length.Seconds(), Y: rate}}); err != nil {
+	if err := plots.AddLine(p, len(methods), "allowance", plotter.XYs{{X: 0, Y: rate}, {X: length.Seconds(), Y: rate}}); err != nil {
 		return err
 	}
 	return plots.Save(file, p)
