--- a/internal/app/lab/most_test.go
+++ b/internal/app/lab/bound_test.go
@@ -14,19 +14,19 @@
 	"github.com/cassiapass/cassiapass/internal/core/bound"
 )
 
-// scarce returns a site on which little of what is asked for can be held.
+// scarce returns a site with one engine, which can hold few of the requested models.
 func scarce() *Site {
 	s := small()
-	s.Engines, s.Length = 1, 12*time.Second
+	s.Engines, s.Duration = 1, 12*time.Second
 	return s
 }
 
-// Symptom: a policy seems to have nothing left to gain, or less than nothing.
-// Sequence: each policy on the same loads, next to what the bound says of them.
-// Cause: an emulated engine does something in less time than the bound takes for the least.
+// Guards against a bound that is too low, so that a policy seems to earn all that is possible
+// or more: this happens if an emulated engine does something in less time than the minimum
+// that Problem states. Each policy is played on the loads that the bound is computed for.
 func TestNoPolicyEarnsMoreThanTheBound(t *testing.T) {
 	renewed := scarce()
-	renewed.Renew = 5 * time.Second
+	renewed.ReplaceInterval = 5 * time.Second
 	const seed = 3
 	quick := bound.DefaultSettings()
 	quick.Rounds = 60
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		for _, p := range Policies() {
-			if p.Everything {
+			if p.AllModels {
 				continue // no engine can hold that
 			}
 			if got := Run(site, p, seed).earned(); got > r.Most/r.Total {
@@ -46,8 +46,8 @@
 	}
 }
 
-// On one engine before 25 models the bound must tell that not all can be served.
-func TestTheBoundTellsWhereEnginesAreScarce(t *testing.T) {
+// With one engine for 25 models, the bound must show that not all requests can be served.
+func TestBoundIsBelowOneWhereEnginesAreScarce(t *testing.T) {
 	is := is.New(t)
 	m, err := Bound(scarce(), 1, 0.3)
 	is.NoErr(err)
@@ -59,7 +59,7 @@
 func TestTableShowsTheGap(t *testing.T) {
 	is := is.New(t)
 	var b bytes.Buffer
-	is.NoErr(Table(&b, small(), []Summary{{Policy: "in-use", Earned: 0.9, Most: &Most{Ahead: 1, OnDemand: 0.95}}}))
+	is.NoErr(Table(&b, small(), []Summary{{Policy: "in-use", Earned: 0.9, UpperBound: &UpperBound{Ahead: 1, OnDemand: 0.95}}}))
 	is.True(strings.Contains(b.String(), "10.0 %"))
 	is.True(strings.Contains(b.String(), "5.3 %"))
 }
@@ -91,7 +91,7 @@
 		is.NoErr(os.WriteFile(file, []byte(text), 0o600))
 		_, err := readRecording(file)
 		if err == nil {
-			t.Errorf("%s: taken", what)
+			t.Errorf("%s: accepted", what)
 		}
 	}
 	_, err := readRecording(filepath.Join(t.TempDir(), "none.json"))
--- a/internal/app/lab/engine.go
+++ b/internal/app/lab/engine.go
@@ -11,33 +11,33 @@
 
 // engine is an emulated model engine.
 type engine struct {
-	ep       fleet.Endpoint
-	spec     *deploy.Engine
-	held     map[string]map[string]bool // model to adapters
-	memory   []string                   // copies in the host's memory, the newest last
-	disk     map[string]bool
-	sequence uint64
-	order    *carrying
-	active   []*request
-	queue    []*request
-	overfull bool // it was ordered to hold more than fits
-}
-
-// carrying is an order of weights that is being carried out.
-type carrying struct {
+	ep            fleet.Endpoint
+	spec          *deploy.Engine
+	held          map[string]map[string]bool // model to adapters
+	memory        []string                   // models copied in the host's memory, newest last
+	disk          map[string]bool
+	sequence      uint64
+	order         *runningOrder
+	active        []*request
+	queue         []*request
+	overcommitted bool // an order exceeded its memory or its adapter slots
+}
+
+// runningOrder is a load or unload of weights in progress.
+type runningOrder struct {
 	fleet.Order
-	until time.Duration
+	doneAt time.Duration
 }
 
 const (
-	unloadTime   = 200 * time.Millisecond
-	adapterTime  = 6 * time.Millisecond
-	memoryCopies = 2 // models that fit the host's memory
+	unloadDuration  = 200 * time.Millisecond
+	adapterDuration = 6 * time.Millisecond
+	maxMemoryCopies = 2 // models whose copies fit in the host's memory
 )
 
-// take answers an order as engines do: one of weights at a time, by its sequence
-// number; adapters at once.
-func (e *engine) take(now time.Duration, o fleet.Order, store *store) fleet.Answer {
+// handleOrder answers an order as an engine does: it carries out one load or unload of
+// weights at a time, checks the sequence number, and applies adapter orders immediately.
+func (e *engine) handleOrder(now time.Duration, o fleet.Order, store *store) fleet.Answer {
 	if o.Expected != e.sequence || e.order != nil {
 		return fleet.Busy
 	}
@@ -46,20 +46,20 @@
 	case o.Want.Adapter != "" && !holds:
 		return fleet.Rejected
 	case o.Want.Adapter != "":
-		return e.takeAdapter(o, adapters)
+		return e.handleAdapterOrder(o, adapters)
 	case o.Op == fleet.Load && holds, o.Op == fleet.Unload && !holds:
 		return fleet.Holds
 	}
 	e.sequence++
-	e.order = &carrying{Order: o, until: now + unloadTime}
+	e.order = &runningOrder{Order: o, doneAt: now + unloadDuration}
 	if o.Op == fleet.Load {
-		e.order.until = now + e.loadTime(now, o.Want.Model, store)
-		e.overfull = e.overfull || e.weights()+e.spec.Models[o.Want.Model].Megabytes > e.spec.Weights
+		e.order.doneAt = now + e.loadTime(now, o.Want.Model, store)
+		e.overcommitted = e.overcommitted || e.heldMegabytes()+e.spec.Models[o.Want.Model].Megabytes > e.spec.Weights
 	}
 	return fleet.Accepted
 }
 
-func (e *engine) takeAdapter(o fleet.Order, adapters map[string]bool) fleet.Answer {
+func (e *engine) handleAdapterOrder(o fleet.Order, adapters map[string]bool) fleet.Answer {
 	has := adapters[o.Want.Adapter]
 	if has == (o.Op == fleet.Load) {
 		return fleet.Holds
@@ -70,11 +70,11 @@
 		return fleet.Holds
 	}
 	adapters[o.Want.Adapter] = true
-	places := 0
+	adapterCount := 0
 	for _, as := range e.held {
-		places += len(as)
+		adapterCount += len(as)
 	}
-	e.overfull = e.overfull || places > e.spec.AdapterPlaces
+	e.overcommitted = e.overcommitted || adapterCount > e.spec.AdapterPlaces
 	return fleet.Accepted
 }
 
@@ -89,7 +89,7 @@
 	return store.load(now, m.FromStore)
 }
 
-func (e *engine) weights() int64 {
+func (e *engine) heldMegabytes() int64 {
 	var sum int64
 	for name := range e.held {
 		sum += e.spec.Models[name].Megabytes
@@ -97,11 +97,11 @@
 	return sum
 }
 
-// settle ends the order under way when its time has come. An unload waits for
-// the requests that run.
-func (e *engine) settle(now time.Duration) {
+// finishOrder completes the order in progress once its duration has passed. An unload
+// also waits for the running requests of its model.
+func (e *engine) finishOrder(now time.Duration) {
 	o := e.order
-	if o == nil || now < o.until {
+	if o == nil || now < o.doneAt {
 		return
 	}
 	name := o.Want.Model
@@ -109,7 +109,7 @@
 		e.held[name] = map[string]bool{}
 		e.disk[name] = true
 		e.memory = append(slices.DeleteFunc(e.memory, func(m string) bool { return m == name }), name)
-		e.memory = e.memory[max(0, len(e.memory)-memoryCopies):]
+		e.memory = e.memory[max(0, len(e.memory)-maxMemoryCopies):]
 		e.order = nil
 		return
 	}
@@ -120,12 +120,12 @@
 	e.order = nil
 }
 
-// report is the engine's word on its state, without the usual lag.
+// report returns the current state of the engine; the caller adds the usual delay.
 func (e *engine) report() fleet.Report {
-	return fleet.Report{Busy: e.order != nil, Sequence: e.sequence, Held: e.holds(), Copies: e.copies(), Queued: len(e.queue), Active: len(e.active)}
+	return fleet.Report{Busy: e.order != nil, Sequence: e.sequence, Held: e.heldModels(), Copies: e.copies(), Queued: len(e.queue), Active: len(e.active)}
 }
 
-func (e *engine) holds() []fleet.Held {
+func (e *engine) heldModels() []fleet.Held {
 	var out []fleet.Held
 	for _, m := range slices.Sorted(maps.Keys(e.held)) {
 		out = append(out, fleet.Held{Model: m, Version: 1, Adapters: slices.Sorted(maps.Keys(e.held[m]))})
@@ -137,14 +137,14 @@
 	return fleet.Copies{Memory: slices.Clone(e.memory), Disk: slices.Sorted(maps.Keys(e.disk))}
 }
 
-func (e *engine) listed() fleet.Endpoint {
+func (e *engine) listEntry() fleet.Endpoint {
 	ep := e.ep
-	ep.Held, ep.Copies = e.holds(), e.copies()
+	ep.Held, ep.Copies = e.heldModels(), e.copies()
 	return ep
 }
 
-// has reports whether a request can run here now.
-func (e *engine) has(w fleet.Want) bool {
+// canRun reports whether the engine can run a request for w now.
+func (e *engine) canRun(w fleet.Want) bool {
 	adapters, ok := e.held[w.Model]
 	if ok && e.order != nil && e.order.Op == fleet.Unload && e.order.Want.Model == w.Model {
 		return false
@@ -152,19 +152,19 @@
 	return ok && (w.Adapter == "" || adapters[w.Adapter])
 }
 
-// work runs the batch for one tick and returns the requests that made their first
-// token, and those that ended.
-func (e *engine) work(now, tick time.Duration) (first, ended []*request) {
+// runBatch runs the batch for one tick and returns the requests that produced their first
+// token and those that ended.
+func (e *engine) runBatch(now, tick time.Duration) (first, ended []*request) {
 	for len(e.active) < e.spec.Slots && len(e.queue) > 0 {
 		e.active, e.queue = append(e.active, e.queue[0]), e.queue[1:]
 	}
 	decode := tick - e.prefill(now, tick, &first)
 	step := stepTime + time.Duration(len(e.active))*stepPerSlot
 	e.active = slices.DeleteFunc(e.active, func(r *request) bool {
-		if r.begun == 0 {
+		if r.firstTokenAt == 0 {
 			return false
 		}
-		r.output -= float64(decode) / (float64(step) * r.pace)
+		r.output -= float64(decode) / (float64(step) * r.stepScale)
 		if r.output > 0 {
 			return false
 		}
@@ -174,42 +174,42 @@
 	return first, ended
 }
 
-// prefill reads prompts, in order of arrival, and returns the time spent.
+// prefill processes prompts in order of arrival and returns the time spent.
 func (e *engine) prefill(now, tick time.Duration, first *[]*request) time.Duration {
 	limit := time.Duration(float64(tick) * prefillShare)
 	var spent time.Duration
 	for _, r := range e.active {
-		if r.begun != 0 || spent >= limit {
+		if r.firstTokenAt != 0 || spent >= limit {
 			continue
 		}
-		need := time.Duration(r.prompt / tokensPerMS * float64(time.Millisecond) * r.pace)
+		need := time.Duration(r.prompt / tokensPerMS * float64(time.Millisecond) * r.stepScale)
 		if done := min(need, limit-spent); done < need {
-			r.prompt -= tokensPerMS * done.Seconds() * 1000 / r.pace
+			r.prompt -= tokensPerMS * done.Seconds() * 1000 / r.stepScale
 			spent = limit
 			continue
 		}
 		spent += need
-		r.prompt, r.begun = 0, now+firstDelay
+		r.prompt, r.firstTokenAt = 0, now+firstTokenDelay
 		*first = append(*first, r)
 	}
 	return spent
 }
 
-// store is the weight store that all engines load from.
+// store is the weight store that all engines share.
 type store struct {
-	full  int // loads that it serves at full speed
-	until []time.Duration
-	loads int
+	maxFullSpeed int // concurrent loads at full speed
+	until        []time.Duration
+	loadCount    int
 }
 
-// load begins a load and returns how long it takes: longer in proportion while
-// more run than the store serves at full speed.
-func (s *store) load(now, takes time.Duration) time.Duration {
+// load starts a load and returns its duration, which grows in proportion once more
+// loads run than the store serves at full speed.
+func (s *store) load(now, duration time.Duration) time.Duration {
 	s.until = slices.DeleteFunc(s.until, func(t time.Duration) bool { return t <= now })
-	s.loads++
-	if n := len(s.until) + 1; n > s.full {
-		takes = takes * time.Duration(n) / time.Duration(s.full)
+	s.loadCount++
+	if n := len(s.until) + 1; n > s.maxFullSpeed {
+		duration = duration * time.Duration(n) / time.Duration(s.maxFullSpeed)
 	}
-	s.until = append(s.until, now+takes)
-	return takes
+	s.until = append(s.until, now+duration)
+	return duration
 }
--- a/internal/app/lab/lab_test.go
+++ b/internal/app/lab/lab_test.go
@@ -15,30 +15,30 @@
 )
 
 // small returns a site of four engines that hold about ten of 25 models, with
-// requests for more than these ten at any time.
+// requests for more than ten models at any time.
 func small() *Site {
-	s := &Site{Name: "small", Engines: 4, Entries: 3, Copies: 15, Length: 25 * time.Second, Shift: 10 * time.Second, Classes: []Class{
-		{Name: "chat", Rate: 8, Last: 2, Skew: 1, Adapters: 0.3, Objective: 300 * time.Millisecond, Limit: 12 * time.Second, Patience: 2 * time.Second, Prompt: 800, Output: 290, Worth: 2, Late: 1, Priority: 1},
-		{Name: "review", Rate: 4, First: 3, Last: 24, Objective: 2 * time.Second, Limit: 20 * time.Second, Patience: 8 * time.Second, Prompt: 800, Output: 290, Worth: 8, Late: 1.3},
+	s := &Site{Name: "small", Engines: 4, Entries: 3, Copies: 15, Duration: 25 * time.Second, ShiftInterval: 10 * time.Second, Classes: []Class{
+		{Name: "chat", Rate: 8, LastModel: 2, Skew: 1, Adapters: 0.3, Objective: 300 * time.Millisecond, Limit: 12 * time.Second, SilenceLimit: 2 * time.Second, Prompt: 800, Output: 290, Value: 2, LateValue: 1, Priority: 1},
+		{Name: "review", Rate: 4, FirstModel: 3, LastModel: 24, Objective: 2 * time.Second, Limit: 20 * time.Second, SilenceLimit: 8 * time.Second, Prompt: 800, Output: 290, Value: 8, LateValue: 1.3},
 	}}
 	s.Spec = &deploy.Engine{Slots: 32, Weights: 83000, AdapterPlaces: 8, StoreLoads: 10}
-	return s.finish(25, 1)
+	return s.complete(25, 1)
 }
 
 func policy(t *testing.T, name string) Policy {
 	t.Helper()
-	ps := chosen(name)
+	ps := selectPolicies(name)
 	if len(ps) != 1 {
 		t.Fatalf("no policy %q", name)
 	}
 	return ps[0]
 }
 
-// Load: requests for rarely used models come faster than engines can load them.
-// Symptom without the order by gain: requests are answered just after their
-// objective, since whatever has the least time left is loaded first. In time over
-// these seeds 0.79 by the time left, 0.86 by gain.
-func TestUnderTooMuchDemandSomeAreServedInTime(t *testing.T) {
+// Requests for rarely used models arrive faster than engines can load them. Without the
+// order by gain, models are loaded in order of the time left to their requests, and many
+// requests are answered just after their objective. The share in time over these seeds is
+// 0.79 by time left and 0.86 by gain.
+func TestOrderByGainServesMoreInTimeThanOrderByUrgency(t *testing.T) {
 	is := is.New(t)
 	const seeds = 6
 	gain := Compare(small(), policy(t, "in-use"), seeds)
@@ -46,13 +46,13 @@
 	t.Logf("in time by gain %.3f, by time left %.3f", gain.InTime["review"], urgency.InTime["review"])
 	is.True(gain.InTime["review"] > urgency.InTime["review"]+0.04)
 	is.True(gain.Earned > urgency.Earned)
-	is.Equal(gain.Starved, 0.0) // nothing is left out for good
+	is.Equal(gain.Starved, 0.0) // no model is starved
 }
 
-// Load: few requests for rarely used models, in no hurry.
-// Symptom without room made ahead: each of them waits for an unload of 0.3 s before
-// its load begins. In time over these seeds 0.968 without, 0.985 with.
-func TestRoomMadeAheadShortensColdStarts(t *testing.T) {
+// The load has few requests for rarely used models, with long objectives. Without memory
+// freed in advance, each of them waits for an unload of 0.3 s before its load begins. The
+// share in time over these seeds is 0.968 without and 0.985 with headroom.
+func TestHeadroomShortensColdStarts(t *testing.T) {
 	is := is.New(t)
 	const seeds = 6
 	site := small()
@@ -65,14 +65,14 @@
 	is.True(ahead.InTime["review"] > without.InTime["review"]+0.01)
 }
 
-// Every request ends once, whatever happens to engines, and none is ordered to
-// hold more than fits.
+// Every request ends exactly once, also when engines are replaced, and no engine is
+// ordered to hold more than fits.
 func TestEveryRequestEndsOnce(t *testing.T) {
 	for _, p := range Policies() {
 		t.Run(p.Name, func(t *testing.T) {
 			is := is.New(t)
 			s := small()
-			s.Renew = 4 * time.Second
+			s.ReplaceInterval = 4 * time.Second
 			o := Run(s, p, 3)
 			asked := 0
 			for _, c := range o.classes {
@@ -80,7 +80,7 @@
 				is.True(c.InTime+c.Late <= c.Asked)
 			}
 			is.Equal(asked, len(s.arrivals(rand.New(rand.NewPCG(3, 2)))))
-			is.True(!o.overfull)
+			is.True(!o.overcommitted)
 		})
 	}
 }
@@ -94,7 +94,7 @@
 	is.True(bound.earned() > 0.99)
 }
 
-func TestSeedRepeats(t *testing.T) {
+func TestSameSeedGivesSameOutcome(t *testing.T) {
 	is := is.New(t)
 	a, b := Run(small(), policy(t, "in-use"), 5), Run(small(), policy(t, "in-use"), 5)
 	is.Equal(a.earned(), b.earned())
--- a/internal/app/lab/main.go
+++ b/internal/app/lab/main.go
@@ -14,22 +14,22 @@
 )
 
 type mainOptions struct {
-	Site   string        `long:"site" env:"CASSIAPASS_LAB_SITE" default:"kyushu" description:"kyushu or kigali: the deployment and its load"`
-	Load   float64       `long:"load" env:"CASSIAPASS_LAB_LOAD" default:"1" description:"load as a multiple of the site's usual one"`
-	Policy string        `long:"policy" env:"CASSIAPASS_LAB_POLICY" default:"all" description:"the policies to compare, separated by commas, or all"`
-	Seeds  int           `long:"seeds" env:"CASSIAPASS_LAB_SEEDS" default:"8" description:"runs of each policy"`
-	Shift  time.Duration `long:"shift" env:"CASSIAPASS_LAB_SHIFT" default:"15s" description:"demand moves to another model this often; 0 never"`
-	Renew  time.Duration `long:"renew" env:"CASSIAPASS_LAB_RENEW" default:"0s" description:"an engine is replaced by an empty one this often; 0 never"`
-	Bound  bool          `long:"bound" env:"CASSIAPASS_LAB_BOUND" description:"also compute what no policy could exceed with the demand known ahead, and how far below each one stays; some seconds a seed"`
-	Of     string        `long:"of" env:"CASSIAPASS_LAB_OF" description:"bound what policies could earn of the recorded load in this JSON file, and end"`
-	Write  string        `long:"write" env:"CASSIAPASS_LAB_WRITE" description:"write the load of the first seed to this file, for --of, and end"`
-	Limits int           `long:"allowances" env:"CASSIAPASS_LAB_ALLOWANCES" description:"compare ways to keep customers within their allowances over so many entries, and end"`
-	JSON   bool          `long:"json" env:"CASSIAPASS_LAB_JSON" description:"print JSON instead of a table"`
-	Plot   string        `long:"plot" env:"CASSIAPASS_LAB_PLOT" description:"write a plot to this file, .svg or .png"`
+	Site      string        `long:"site" env:"CASSIAPASS_LAB_SITE" default:"kyushu" description:"kyushu or kigali: the deployment and its load"`
+	Load      float64       `long:"load" env:"CASSIAPASS_LAB_LOAD" default:"1" description:"load as a multiple of the site's usual one"`
+	Policy    string        `long:"policy" env:"CASSIAPASS_LAB_POLICY" default:"all" description:"the policies to compare, separated by commas, or all"`
+	Seeds     int           `long:"seeds" env:"CASSIAPASS_LAB_SEEDS" default:"8" description:"runs of each policy"`
+	Shift     time.Duration `long:"shift" env:"CASSIAPASS_LAB_SHIFT" default:"15s" description:"demand moves to another model this often; 0 never"`
+	Renew     time.Duration `long:"renew" env:"CASSIAPASS_LAB_RENEW" default:"0s" description:"an engine is replaced by an empty one this often; 0 never"`
+	Bound     bool          `long:"bound" env:"CASSIAPASS_LAB_BOUND" description:"also compute what no policy could exceed with the demand known ahead, and how far below each one stays; some seconds a seed"`
+	BoundFile string        `long:"of" env:"CASSIAPASS_LAB_OF" description:"bound what policies could earn of the recorded load in this JSON file, and end"`
+	WriteFile string        `long:"write" env:"CASSIAPASS_LAB_WRITE" description:"write the load of the first seed to this file, for --of, and end"`
+	Entries   int           `long:"allowances" env:"CASSIAPASS_LAB_ALLOWANCES" description:"compare ways to keep customers within their allowances over so many entries, and end"`
+	JSON      bool          `long:"json" env:"CASSIAPASS_LAB_JSON" description:"print JSON instead of a table"`
+	Plot      string        `long:"plot" env:"CASSIAPASS_LAB_PLOT" description:"write a plot to this file, .svg or .png"`
 }
 
-// mostSeeds bounds the runs of one call: each takes about a second.
-const mostSeeds = 1000
+// maxSeeds limits the runs of each policy in one call: a run takes about a second.
+const maxSeeds = 1000
 
 // Main runs cassiapass-lab.
 func Main(args []string, out, errs io.Writer) (int, error) {
@@ -41,13 +41,13 @@
 		if o.Load <= 0 {
 			c.Fail("load", fmt.Sprint(o.Load), "a positive number")
 		}
-		if o.Seeds < 1 || o.Seeds > mostSeeds {
-			c.Fail("seeds", fmt.Sprint(o.Seeds), fmt.Sprintf("1 to %d", mostSeeds))
+		if o.Seeds < 1 || o.Seeds > maxSeeds {
+			c.Fail("seeds", fmt.Sprint(o.Seeds), fmt.Sprintf("1 to %d", maxSeeds))
 		}
-		if o.Limits < 0 || o.Limits > mostEntries {
-			c.Fail("allowances", fmt.Sprint(o.Limits), fmt.Sprintf("1 to %d entries", mostEntries))
+		if o.Entries < 0 || o.Entries > maxEntries {
+			c.Fail("allowances", fmt.Sprint(o.Entries), fmt.Sprintf("1 to %d entries", maxEntries))
 		}
-		if len(chosen(o.Policy)) == 0 {
+		if len(selectPolicies(o.Policy)) == 0 {
 			c.Fail("policy", o.Policy, strings.Join(PolicyNames(), ", ")+" or all")
 		}
 		if o.Shift < 0 || o.Renew < 0 {
@@ -60,19 +60,19 @@
 	if !ok {
 		return code, nil
 	}
-	if o.Limits > 0 {
+	if o.Entries > 0 {
 		return exitCode(compareAllowances(o, out, errs))
 	}
-	if o.Of != "" {
-		return exitCode(boundRecording(o.Of, out))
+	if o.BoundFile != "" {
+		return exitCode(boundRecording(o.BoundFile, out))
 	}
 	site := ByName(o.Site, o.Load)
-	site.Shift, site.Renew = o.Shift.Truncate(tick), o.Renew.Truncate(tick)
-	if o.Write != "" {
-		return exitCode(writeRecording(o.Write, site))
+	site.ShiftInterval, site.ReplaceInterval = o.Shift.Truncate(tick), o.Renew.Truncate(tick)
+	if o.WriteFile != "" {
+		return exitCode(writeRecording(o.WriteFile, site))
 	}
 	var sums []Summary
-	for _, p := range chosen(o.Policy) {
+	for _, p := range selectPolicies(o.Policy) {
 		sums = append(sums, Compare(site, p, o.Seeds))
 	}
 	if o.Bound {
@@ -91,14 +91,14 @@
 	return 0, Table(out, site, sums)
 }
 
-// mostEntries bounds the entries of a comparison of allowances.
-const mostEntries = 2000
+// maxEntries limits the entries of a comparison of allowances.
+const maxEntries = 2000
 
 func compareAllowances(o mainOptions, out, errs io.Writer) error {
-	all := allowances.Compare(o.Limits, o.Seeds, func(played, of int) { fmt.Fprintf(errs, "\r%d of %d runs", played, of) })
+	all := allowances.Compare(o.Entries, o.Seeds, func(played, of int) { fmt.Fprintf(errs, "\r%d of %d runs", played, of) })
 	fmt.Fprintln(errs)
 	if o.Plot != "" {
-		if err := allowances.Plot(o.Plot, o.Limits); err != nil {
+		if err := allowances.Plot(o.Plot, o.Entries); err != nil {
 			return err
 		}
 	}
@@ -115,29 +115,29 @@
 	return 0, nil
 }
 
-// addBound fills in what no policy could exceed.
+// addBound adds the upper bound on what policies can earn to each summary.
 func addBound(s *Site, sums []Summary, seeds int) error {
 	earned := 0.0
 	for _, x := range sums {
-		if p := Policies()[slices.Index(PolicyNames(), x.Policy)]; !p.Everything {
+		if p := Policies()[slices.Index(PolicyNames(), x.Policy)]; !p.AllModels {
 			earned = max(earned, x.Earned)
 		}
 	}
-	most, err := Bound(s, seeds, earned)
+	upper, err := Bound(s, seeds, earned)
 	for i := range sums {
-		sums[i].Most = &most
+		sums[i].UpperBound = &upper
 	}
 	return err
 }
 
-// atOnce is how many runs are played at a time.
-const atOnce = 4
+// maxParallelRuns is the number of runs played concurrently.
+const maxParallelRuns = 4
 
-// Compare plays a policy with the seeds from 1 up.
+// Compare plays a policy with the seeds 1 to seeds and summarizes the runs.
 func Compare(s *Site, p Policy, seeds int) Summary {
 	runs := make([]*Outcome, seeds)
 	var all sync.WaitGroup
-	slots := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxParallelRuns)
 	for i := range seeds {
 		all.Go(func() {
 			slots <- struct{}{}
@@ -149,9 +149,9 @@
 	return Summarize(runs)
 }
 
-// chosen returns the policies that a list of names names, none if one is not
-// known.
-func chosen(names string) []Policy {
+// selectPolicies returns the policies of a comma-separated list of names, or nil if a name
+// is unknown.
+func selectPolicies(names string) []Policy {
 	if names == "all" {
 		return Policies()
 	}
--- a/internal/app/lab/plot.go
+++ b/internal/app/lab/plot.go
@@ -7,7 +7,8 @@
 	"github.com/cassiapass/cassiapass/internal/adapter/plots"
 )
 
-// Plot draws what each policy earned over the time at which callers first asked.
+// Plot writes a plot of the share that each policy earned, by arrival time of the first
+// attempt, to file.
 func Plot(file string, site *Site, sums []Summary) error {
 	p := plot.New()
 	p.Title.Text = site.Name + ": share earned of what was owed"
@@ -16,7 +17,7 @@
 	p.Y.Min, p.Y.Max = 0, 1
 	for i, s := range sums {
 		var xy plotter.XYs
-		for k, v := range s.overall {
+		for k, v := range s.spanShares {
 			xy = append(xy, plotter.XY{X: float64(k) * span.Seconds(), Y: v})
 		}
 		if err := plots.AddLine(p, i, s.Policy, xy); err != nil {
--- a/internal/app/lab/recorded.go
+++ b/internal/app/lab/recorded.go
@@ -12,8 +12,8 @@
 	"github.com/cassiapass/cassiapass/internal/core/bound"
 )
 
-// recording is a load with the engines that served it, as a file holds it. Times are
-// seconds from any one origin; docs/POLICY.md tells what each field is.
+// recording is the file format of a load with the engines that served it. Times are
+// seconds from any common origin; docs/POLICY.md describes the fields.
 type recording struct {
 	Engines   int               `json:"engines"`
 	Megabytes int64             `json:"megabytes"`
@@ -42,17 +42,17 @@
 	Little float64 `json:"little"`
 }
 
-// mostRecorded bounds the bytes of a recording: some millions of requests.
-const mostRecorded = 1 << 30
+// maxRecordingBytes limits the size of a recording; it suffices for some millions of requests.
+const maxRecordingBytes = 1 << 30
 
-// readRecording returns the problem that a file holds.
+// readRecording reads a recording from a file and checks it.
 func readRecording(file string) (bound.Problem, error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return bound.Problem{}, oops.Wrapf(err, "recorded load")
 	}
 	defer f.Close()
-	dec := json.NewDecoder(io.LimitReader(f, mostRecorded))
+	dec := json.NewDecoder(io.LimitReader(f, maxRecordingBytes))
 	dec.DisallowUnknownFields()
 	var r recording
 	if err := dec.Decode(&r); err != nil {
@@ -70,7 +70,7 @@
 	at := map[string]int{}
 	for i, m := range r.Models {
 		if _, twice := at[m.Name]; twice {
-			return p, oops.Errorf("model %q stands twice", m.Name)
+			return p, oops.Errorf("model %q is listed twice", m.Name)
 		}
 		at[m.Name] = i
 		p.Models = append(p.Models, bound.Model{Name: m.Name, Megabytes: m.Megabytes, First: fromSeconds(m.First), Again: fromSeconds(m.Again), Held: m.Held})
@@ -88,8 +88,8 @@
 
 func fromSeconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// record returns a problem as a file holds it.
-func record(p bound.Problem) recording {
+// newRecording returns the recording of a problem.
+func newRecording(p bound.Problem) recording {
 	r := recording{Engines: p.Engines, Megabytes: p.Megabytes, Begin: p.Begin.Seconds(), End: p.End.Seconds(), Unload: p.Unload.Seconds()}
 	for _, m := range p.Models {
 		r.Models = append(r.Models, recordedModel{m.Name, m.Megabytes, m.First.Seconds(), m.Again.Seconds(), m.Held})
@@ -100,16 +100,16 @@
 	return r
 }
 
-// writeRecording writes the first run's load of a site to a file.
+// writeRecording writes the load of a site with seed 1 to a file.
 func writeRecording(file string, s *Site) error {
-	data, err := json.Marshal(record(s.Problem(1)))
+	data, err := json.Marshal(newRecording(s.Problem(1)))
 	if err != nil {
 		return oops.Wrapf(err, "recorded load")
 	}
 	return oops.Wrapf(os.WriteFile(file, data, 0o644), "recorded load")
 }
 
-// boundRecording prints what no policy could exceed on a recorded load.
+// boundRecording prints the upper bound on what policies can earn on a recorded load.
 func boundRecording(file string, out io.Writer) error {
 	p, err := readRecording(file)
 	if err != nil {
--- a/internal/app/lab/run.go
+++ b/internal/app/lab/run.go
@@ -11,44 +11,44 @@
 )
 
 const (
-	tick      = 5 * time.Millisecond
-	tellEvery = 200 * time.Millisecond // as entries tell the planner
-	toldAfter = 10 * time.Millisecond  // from an entry to the planner and back
-	listEvery = 400 * time.Millisecond // as the planner's host reads the list
-	listLag   = 400 * time.Millisecond
-	reportLag = 100 * time.Millisecond
-	orderTime = 15 * time.Millisecond // confirmed with a quorum and answered
-	// lead is the time before the first request, in which the planner learns
-	// what the engines hold.
-	lead = 2 * time.Second
+	tick           = 5 * time.Millisecond
+	reportInterval = 200 * time.Millisecond // of reports from an entry to the planner
+	reportDelay    = 10 * time.Millisecond  // one way between an entry and the planner
+	listInterval   = 400 * time.Millisecond // at which the planner's host reads the endpoint list
+	listDelay      = 400 * time.Millisecond
+	queryDelay     = 100 * time.Millisecond
+	orderDelay     = 15 * time.Millisecond // to confirm an order with a quorum and receive the answer
+	// leadTime is the time before the first request, in which the planner learns
+	// which models the engines hold.
+	leadTime = 2 * time.Second
 
 	storeFullSpeed = 4
 )
 
-// epoch is where virtual time begins for the planner.
+// epoch is the planner's wall-clock time at virtual time 0.
 var epoch = time.Unix(1e6, 0)
 
-// runner plays one site under one policy.
+// runner simulates one site under one policy.
 type runner struct {
-	site    *Site
-	r       *rand.Rand
-	now     time.Duration
-	planner *fleet.Planner
-	engines map[fleet.EndpointID]*engine
-	known   []fleet.Endpoint // as entries were told
-	waiting []*request
-	at      map[*request]*engine
-	runs    []map[runKey]*fleet.Use // entry to what it runs where
-	arrived []map[fleet.Want]int    // entry to arrivals not told yet
-	later   []event
-	store   store
-	urgent  []bool // entry to whether a request has begun to wait
-	frozen  bool
-	renewed int
-	out     *Outcome
+	site        *Site
+	r           *rand.Rand
+	now         time.Duration
+	planner     *fleet.Planner
+	engines     map[fleet.EndpointID]*engine
+	known       []fleet.Endpoint // as published to entries
+	waiting     []*request
+	assigned    map[*request]*engine
+	uses        []map[useKey]*fleet.Use // by entry: its requests running on each engine
+	arrived     []map[fleet.Want]int    // by entry: arrivals not reported yet
+	scheduled   []event
+	store       store
+	reportNow   []bool // by entry: whether a request has begun to wait
+	frozen      bool
+	enginesMade int
+	out         *Outcome
 }
 
-type runKey struct {
+type useKey struct {
 	id   fleet.EndpointID
 	want fleet.Want
 }
@@ -58,44 +58,45 @@
 	f  func()
 }
 
-// newRunner returns a runner whose engines hold what they do at the beginning.
+// newRunner returns a runner whose engines hold their initial models.
 func newRunner(s *Site, p Policy, seed uint64) *runner {
 	x := &runner{site: s, r: rand.New(rand.NewPCG(seed, 1)), planner: fleet.New(p.Plan), engines: map[fleet.EndpointID]*engine{},
-		at: map[*request]*engine{}, store: store{full: storeFullSpeed}, urgent: make([]bool, s.Entries), frozen: p.Frozen, out: newOutcome(s, p), now: -lead}
+		assigned: map[*request]*engine{}, store: store{maxFullSpeed: storeFullSpeed}, reportNow: make([]bool, s.Entries), frozen: p.Frozen, out: newOutcome(s, p), now: -leadTime}
 	for range s.Entries {
-		x.runs = append(x.runs, map[runKey]*fleet.Use{})
+		x.uses = append(x.uses, map[useKey]*fleet.Use{})
 		x.arrived = append(x.arrived, map[fleet.Want]int{})
 	}
 	x.planner.SetDeployment(&deploy.Config{Services: map[string]*deploy.Service{"llm": {Name: "llm", Engine: s.Spec}}})
-	x.furnish(p.Everything)
+	x.createEngines(p.AllModels)
 	return x
 }
 
-// load returns the requests of a run, the same for each policy.
+// load returns the requests of a run; they depend on the seed alone and are the same for
+// each policy.
 func (s *Site) load(seed uint64) []*request { return s.arrivals(rand.New(rand.NewPCG(seed, 2))) }
 
-// end returns when the last caller has left.
+// end returns the time by which every caller has received an answer or left.
 func (s *Site) end() time.Duration {
-	return s.Length + slices.MaxFunc(s.Classes, func(a, b Class) int { return int(a.Limit - b.Limit) }).Limit
+	return s.Duration + slices.MaxFunc(s.Classes, func(a, b Class) int { return int(a.Limit - b.Limit) }).Limit
 }
 
-// Run plays a site under a policy and returns what callers got.
+// Run simulates a site under a policy and returns the outcomes of its requests.
 func Run(s *Site, p Policy, seed uint64) *Outcome {
 	x, reqs := newRunner(s, p, seed), s.load(seed)
 	for end := s.end(); x.now < end; x.now += tick {
-		for len(reqs) > 0 && reqs[0].born <= x.now {
+		for len(reqs) > 0 && reqs[0].firstArrived <= x.now {
 			x.arrive(reqs[0])
 			reqs = reqs[1:]
 		}
 		x.step()
 	}
-	x.out.loads = x.store.loads
+	x.out.loads = x.store.loadCount
 	return x.out
 }
 
-// furnish makes the engines: the often used models on many, the others on one
-// each as far as there is room, copies of more on the disks.
-func (x *runner) furnish(everything bool) {
+// createEngines creates the engines. Each holds one of the two most used models and up to
+// three others as far as memory suffices, and has copies of more models on its disk.
+func (x *runner) createEngines(allModels bool) {
 	order := x.r.Perm(len(x.site.Names))
 	for i := range x.site.Engines {
 		e := x.newEngine()
@@ -103,18 +104,18 @@
 			e.disk[x.site.Names[m]] = true
 		}
 		for _, name := range append([]string{x.site.Names[i%2]}, x.names(order[i*2:min(len(order), i*2+3)])...) {
-			if e.held[name] == nil && e.weights()+x.site.Spec.Models[name].Megabytes+400 <= e.spec.Weights {
+			if e.held[name] == nil && e.heldMegabytes()+x.site.Spec.Models[name].Megabytes+400 <= e.spec.Weights {
 				e.held[name], e.disk[name] = map[string]bool{}, true
 			}
 		}
-		if everything {
-			x.holdEverything(e)
+		if allModels {
+			x.holdAllModels(e)
 		}
 	}
 }
 
-// holdEverything gives an engine every model and adapter, whatever fits.
-func (x *runner) holdEverything(e *engine) {
+// holdAllModels gives an engine every model and adapter regardless of memory.
+func (x *runner) holdAllModels(e *engine) {
 	for _, name := range x.site.Names {
 		e.held[name] = map[string]bool{}
 		for a := range e.spec.Models[name].Adapters {
@@ -132,14 +133,14 @@
 }
 
 func (x *runner) newEngine() *engine {
-	id := fleet.EndpointID(fmt.Sprintf("e%03d", x.renewed))
-	x.renewed++
+	id := fleet.EndpointID(fmt.Sprintf("e%03d", x.enginesMade))
+	x.enginesMade++
 	e := &engine{ep: fleet.Endpoint{ID: id, Service: "llm", Addr: string(id), Slots: x.site.Spec.Slots}, spec: x.site.Spec, held: map[string]map[string]bool{}, disk: map[string]bool{}}
 	x.engines[id] = e
 	return e
 }
 
-// sorted returns the engines in a fixed order, so that a seed repeats.
+// sorted returns the engines by id: with a fixed order, the same seed gives the same run.
 func (x *runner) sorted() []*engine {
 	out := make([]*engine, 0, len(x.engines))
 	for _, e := range x.engines {
@@ -154,39 +155,41 @@
 	return out
 }
 
-func (x *runner) after(d time.Duration, f func()) { x.later = append(x.later, event{x.now + d, f}) }
+func (x *runner) after(d time.Duration, f func()) {
+	x.scheduled = append(x.scheduled, event{x.now + d, f})
+}
 
 func (x *runner) clock() time.Time { return epoch.Add(x.now) }
 
 func (x *runner) step() {
-	due := x.later
-	x.later = nil
+	due := x.scheduled
+	x.scheduled = nil
 	for _, ev := range due {
 		if ev.at > x.now {
-			x.later = append(x.later, ev)
+			x.scheduled = append(x.scheduled, ev)
 			continue
 		}
 		ev.f()
 	}
 	for _, e := range x.sorted() {
-		e.settle(x.now)
-		first, ended := e.work(x.now, tick)
+		e.finishOrder(x.now)
+		first, ended := e.runBatch(x.now, tick)
 		for _, r := range first {
-			x.out.answered(r, r.begun)
+			x.out.answered(r, r.firstTokenAt)
 		}
 		for _, r := range ended {
-			x.use(r, e).Running--
-			delete(x.at, r)
+			x.useOf(r, e).Running--
+			delete(x.assigned, r)
 		}
 	}
-	x.every(listEvery, x.list)
+	x.every(listInterval, x.list)
 	for i := range x.site.Entries {
-		if x.urgent[i] || (x.now+time.Duration(i)*tellEvery/time.Duration(x.site.Entries))%tellEvery == 0 {
-			x.tell(i)
+		if x.reportNow[i] || (x.now+time.Duration(i)*reportInterval/time.Duration(x.site.Entries))%reportInterval == 0 {
+			x.report(i)
 		}
 	}
-	if x.site.Renew > 0 && x.now > 0 && x.now < x.site.Length {
-		x.every(x.site.Renew, x.renew)
+	if x.site.ReplaceInterval > 0 && x.now > 0 && x.now < x.site.Duration {
+		x.every(x.site.ReplaceInterval, x.replaceOldest)
 	}
 	if !x.frozen {
 		x.plan()
@@ -203,48 +206,48 @@
 func (x *runner) list() {
 	var eps []fleet.Endpoint
 	for _, e := range x.sorted() {
-		eps = append(eps, e.listed())
+		eps = append(eps, e.listEntry())
 	}
 	if x.frozen {
 		x.known = eps
 		return
 	}
-	asked := x.clock()
-	x.after(listLag, func() { x.planner.List(x.clock(), asked, eps) })
+	requestedAt := x.clock()
+	x.after(listDelay, func() { x.planner.List(x.clock(), requestedAt, eps) })
 }
 
-// renew replaces the oldest engine by an empty one. What runs there is cut off
-// and counts as it did; what waits in its queue goes elsewhere.
-func (x *runner) renew() {
+// replaceOldest replaces the oldest engine by an empty one. Requests that have produced
+// their first token are cut off and keep their outcome; the others wait for another engine.
+func (x *runner) replaceOldest() {
 	old := x.sorted()[0]
 	delete(x.engines, old.ep.ID)
 	for _, r := range append(slices.Clone(old.queue), old.active...) {
-		x.use(r, old).Running--
-		delete(x.at, r)
-		if r.begun == 0 {
-			x.wait(r)
+		x.useOf(r, old).Running--
+		delete(x.assigned, r)
+		if r.firstTokenAt == 0 {
+			x.enqueue(r)
 		}
 	}
 	x.newEngine()
 }
 
-// tell has an entry report what arrived, waits and runs.
-func (x *runner) tell(entry int) {
-	x.urgent[entry] = false
+// report sends an entry's report of arrived, waiting and running requests to the planner.
+func (x *runner) report(entry int) {
+	x.reportNow[entry] = false
 	byWant := map[fleet.Want]*fleet.Demand{}
-	of := func(w fleet.Want) *fleet.Demand {
+	demandOf := func(w fleet.Want) *fleet.Demand {
 		if byWant[w] == nil {
 			byWant[w] = &fleet.Demand{Want: w}
 		}
 		return byWant[w]
 	}
 	for w, n := range x.arrived[entry] {
-		of(w).Arrived = n
+		demandOf(w).Arrived = n
 	}
 	clear(x.arrived[entry])
 	for _, r := range x.waiting {
 		if r.entry == entry {
-			of(r.want).Add(x.now-r.waits, r.arrived+r.class.Limit-x.now, r.arrived+r.class.Objective-x.now)
+			demandOf(r.want).Add(x.now-r.waitingSince, r.arrived+r.class.Limit-x.now, r.arrived+r.class.Objective-x.now)
 		}
 	}
 	var demands []fleet.Demand
@@ -252,65 +255,65 @@
 		demands = append(demands, *d)
 	}
 	var uses []fleet.Use
-	for k, u := range x.runs[entry] {
+	for k, u := range x.uses[entry] {
 		uses = append(uses, *u)
 		u.Begun = 0
 		if u.Running == 0 {
-			delete(x.runs[entry], k)
+			delete(x.uses[entry], k)
 		}
 	}
-	x.after(toldAfter, func() { x.planner.Hear(x.clock(), fmt.Sprint(entry), demands, uses) })
+	x.after(reportDelay, func() { x.planner.Hear(x.clock(), fmt.Sprint(entry), demands, uses) })
 }
 
-// plan carries out what the planner wants.
+// plan carries out the orders and queries of the planner and publishes its endpoints.
 func (x *runner) plan() {
 	w := x.planner.Plan(x.clock())
 	for _, o := range w.Orders {
 		e := x.engines[o.Endpoint]
 		if e == nil {
-			x.after(orderTime, func() { x.planner.Answered(x.clock(), o, fleet.Unsent) })
+			x.after(orderDelay, func() { x.planner.Answered(x.clock(), o, fleet.Unsent) })
 			continue
 		}
-		a := e.take(x.now, o, &x.store)
-		x.out.overfull = x.out.overfull || e.overfull
-		x.after(orderTime, func() { x.planner.Answered(x.clock(), o, a) })
+		a := e.handleOrder(x.now, o, &x.store)
+		x.out.overcommitted = x.out.overcommitted || e.overcommitted
+		x.after(orderDelay, func() { x.planner.Answered(x.clock(), o, a) })
 	}
 	for _, q := range w.Queries {
 		if e := x.engines[q.Endpoint]; e != nil {
 			r := e.report()
-			x.after(reportLag, func() { x.planner.Reported(x.clock(), q.Endpoint, r) })
+			x.after(queryDelay, func() { x.planner.Reported(x.clock(), q.Endpoint, r) })
 			continue
 		}
-		x.after(reportLag, func() { x.planner.Unreported(x.clock(), q.Endpoint) })
+		x.after(queryDelay, func() { x.planner.Unreported(x.clock(), q.Endpoint) })
 	}
 	if x.planner.Changed() {
 		eps := x.planner.Endpoints()
-		x.after(toldAfter, func() { x.known = eps })
+		x.after(reportDelay, func() { x.known = eps })
 	}
 }
 
 func (x *runner) arrive(r *request) {
 	r.arrived = x.now
 	x.arrived[r.entry][r.want]++
-	r.waits = -1
+	r.waitingSince = -1
 	if !x.send(r) {
-		x.wait(r)
+		x.enqueue(r)
 	}
 }
 
-func (x *runner) wait(r *request) {
-	r.waits = x.now
+func (x *runner) enqueue(r *request) {
+	r.waitingSince = x.now
 	x.waiting = append(x.waiting, r)
-	x.urgent[r.entry] = true
+	x.reportNow[r.entry] = true
 }
 
-// dispatch sends what waits and refuses what has waited for as long as it may.
+// dispatch sends waiting requests and refuses those that reached their maximum wait.
 func (x *runner) dispatch() {
 	x.waiting = slices.DeleteFunc(x.waiting, func(r *request) bool {
 		if x.send(r) {
 			return true
 		}
-		if x.now-r.arrived < fleet.Hold(r.class.Limit, r.class.Patience, 0) {
+		if x.now-r.arrived < fleet.Hold(r.class.Limit, r.class.SilenceLimit, 0) {
 			return false
 		}
 		x.refuse(r)
@@ -318,24 +321,26 @@
 	})
 }
 
-// refuse tells a caller to come back; it does so once, if it has the time.
+// refuse answers a caller with a time to retry after. The caller retries once, if its time
+// limit allows.
 func (x *runner) refuse(r *request) {
 	after := fleet.ComeBack(x.r.Int64N)
-	if r.again || x.now+after > r.born+r.class.Limit {
+	if r.retried || x.now+after > r.firstArrived+r.class.Limit {
 		x.out.refused(r)
 		return
 	}
-	r.again = true
+	r.retried = true
 	x.after(after, func() { x.arrive(r) })
 }
 
-// send gives a request to an engine that is known to hold what it needs.
+// send sends a request to an engine that holds its model and adapter and that the entries
+// know to hold them. It reports whether there was one.
 func (x *runner) send(r *request) bool {
 	var cands []fleet.Candidate
 	var to []*engine
 	for _, ep := range x.known {
 		e := x.engines[ep.ID]
-		if e == nil || !holds(ep, r.want) || !e.has(r.want) {
+		if e == nil || !holds(ep, r.want) || !e.canRun(r.want) {
 			continue
 		}
 		n := len(e.active) + len(e.queue)
@@ -349,8 +354,8 @@
 		return false
 	}
 	e := to[i]
-	x.at[r] = e
-	u := x.use(r, e)
+	x.assigned[r] = e
+	u := x.useOf(r, e)
 	u.Running++
 	u.Begun++
 	e.queue = append(e.queue, r)
@@ -358,12 +363,12 @@
 	return true
 }
 
-func (x *runner) use(r *request, e *engine) *fleet.Use {
-	k := runKey{e.ep.ID, r.want}
-	u := x.runs[r.entry][k]
+func (x *runner) useOf(r *request, e *engine) *fleet.Use {
+	k := useKey{e.ep.ID, r.want}
+	u := x.uses[r.entry][k]
 	if u == nil {
 		u = &fleet.Use{Endpoint: e.ep.ID, Want: r.want}
-		x.runs[r.entry][k] = u
+		x.uses[r.entry][k] = u
 	}
 	return u
 }
