--- a/internal/app/replay/bound.go
+++ b/internal/app/replay/bound.go
@@ -7,21 +7,21 @@
 	"github.com/cassiapass/cassiapass/internal/core/record"
 )
 
-// Bound is a cold-start time that no policy which loads on demand can beat by
-// much: computed with knowledge of the whole trace and without several limits.
+// Bound is a lower bound on cold-start times, in seconds, that no policy which
+// loads on demand can beat by much. It is computed with knowledge of the whole
+// trace and without several limits.
 type Bound struct {
 	P50  float64 `json:"p50"`
 	P99  float64 `json:"p99"`
 	Cold int     `json:"cold"`
 }
 
-// LowerBound schedules the loads of a trace with every advantage: memory never
-// runs out, a target once loaded stays, no message takes time, each checkpoint
-// is read from the disk of whichever endpoint has it, and the store works on
-// the shortest remaining load first, which it may interrupt (the order that
-// gives the least total waiting on shared bandwidth). Loads still begin only
-// when the first request has arrived: what it shows is the cost of cold starts
-// that are not foreseen.
+// LowerBound schedules the loads of a trace under ideal conditions: memory never
+// runs out, a target stays loaded, messages take no time, a checkpoint is read
+// from disk if any endpoint has it there, and the store serves the shortest
+// remaining load first, with preemption (the order with the least total waiting
+// on shared bandwidth). A load still begins only when the first request for its
+// target has arrived, so the bound is the cost of cold starts without prefetch.
 func LowerBound(t *Trace) Bound {
 	w := t.World
 	size := sizes(w)
--- a/internal/app/replay/clock.go
+++ b/internal/app/replay/clock.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// epoch is where virtual time begins. Any fixed time will do.
+// epoch is the start of virtual time. Any fixed time will do.
 var epoch = time.Unix(1_000_000_000, 0).UTC()
 
-// clock runs events in the order of virtual time.
+// clock runs events in the order of virtual time; events at the same time run
+// in the order in which they were scheduled.
 type clock struct {
 	now    time.Time
 	events eventHeap
@@ -21,7 +22,7 @@
 	run func()
 }
 
-// after schedules f.
+// after schedules f to run after d.
 func (c *clock) after(d time.Duration, f func()) { c.at(c.now.Add(d), f) }
 
 func (c *clock) at(t time.Time, f func()) {
@@ -29,7 +30,7 @@
 	heap.Push(&c.events, event{t, c.seq, f})
 }
 
-// run runs every event up to end.
+// run runs every event up to end and sets the time to end.
 func (c *clock) run(end time.Time) {
 	for len(c.events) > 0 && !c.events[0].at.After(end) {
 		e := heap.Pop(&c.events).(event)
--- a/internal/app/replay/doc.go
+++ b/internal/app/replay/doc.go
@@ -1,9 +1,9 @@
 // Package replay drives the decision packages with a recorded or generated
-// trace on virtual time and reports what their decisions led to: cold-start
+// trace in virtual time and reports the results of their decisions: cold-start
 // times, idle accelerator hours, refusals, fairness, memory and replicas.
 //
-// It is a replay of one trace through the decisions of one control group, not
-// a simulator of a cluster: the engine is a timer, the weight store a shared
-// bandwidth, messages take a fixed time. The state machine, planner, ledgers
-// and admission queues are the real ones.
+// It replays one trace through the decisions of one control group and does not
+// simulate a whole cluster: the engine is a timer, the weight store a shared
+// bandwidth, and messages take a fixed time. The state machine, planner, ledgers
+// and admission queues are the production code.
 package replay
--- a/internal/app/replay/generate.go
+++ b/internal/app/replay/generate.go
@@ -14,7 +14,7 @@
 
 const gigabyte = 1e9
 
-// generator makes traces from a seed. The same seed gives the same trace.
+// generator generates a trace from a seed. The same seed gives the same trace.
 type generator struct {
 	r     *rand.Rand
 	t     *Trace
@@ -30,7 +30,7 @@
 	}
 }
 
-// hosts adds endpoints spread over the availability zones.
+// hosts adds n endpoints, spread over the availability zones.
 func (g *generator) hosts(n int, zones []ident.Zone, memory int64) {
 	for i := range n {
 		g.t.World.Endpoints = append(g.t.World.Endpoints, WorldHost{
@@ -39,8 +39,8 @@
 	}
 }
 
-// models makes models of 4 to 80 GB, log-uniform, and adapters of 50 to 400 MB
-// on them.
+// models adds n models of 4 to 80 GB, log-uniform, and adapters of 50 to 400 MB
+// of these models.
 func (g *generator) models(n, adapters int) {
 	for i := range n {
 		t := ident.Target{Model: fmt.Sprintf("model-%03d", i+1), Version: "1"}
@@ -56,8 +56,9 @@
 	}
 }
 
-// scatter puts checkpoints on the disks of some endpoints: cached unevenly.
-func (g *generator) scatter(share float64) {
+// fillDisks puts each checkpoint on each endpoint's disk with probability share, so
+// that the caches differ.
+func (g *generator) fillDisks(share float64) {
 	for i := range g.t.World.Endpoints {
 		for _, t := range g.all {
 			if g.r.Float64() < share {
@@ -67,7 +68,7 @@
 	}
 }
 
-// The written form of a record, as far as the generator needs it.
+// genRecord is the JSON form of a record, with the fields that the generator sets.
 type genRecord struct {
 	SchemaVersion int           `json:"schemaVersion"`
 	Service       string        `json:"service"`
@@ -106,7 +107,7 @@
 	Bytes   int64  `json:"bytes"`
 }
 
-// record writes one record that states every model for the customers.
+// record adds a record with every model for the given customers.
 func (g *generator) record(place string, weight float64, start time.Duration, customers []genCustomer) {
 	rec := genRecord{SchemaVersion: 2, Service: place, Place: place, Weight: weight, FirstAnswer: "1.9s", Replicas: genBounds{Max: 3}, Customers: customers}
 	for _, b := range g.bases {
@@ -140,7 +141,7 @@
 
 func (g *generator) fault(l Line) { g.t.Lines = append(g.t.Lines, l) }
 
-func (g *generator) done() *Trace {
+func (g *generator) trace() *Trace {
 	slices.SortStableFunc(g.t.Lines, func(a, b Line) int {
 		switch {
 		case a.At < b.At:
@@ -153,19 +154,20 @@
 	return g.t
 }
 
-// sessions adds use of one target: visits with heavy-tailed pauses between
-// them, a few requests each.
-func (g *generator) sessions(t ident.Target, who func() string, from, to, meanPause, deadline float64) {
+// sessions adds requests for one target: sessions of a few requests each, with
+// heavy-tailed pauses between them.
+func (g *generator) sessions(t ident.Target, customer func() string, from, to, meanPause, deadline float64) {
 	at := from + g.r.Float64()*meanPause
 	for at < to {
 		for k := range 1 + g.r.IntN(5) {
-			g.request(at+float64(k)*g.r.ExpFloat64()*6, who(), t, deadline)
+			g.request(at+float64(k)*g.r.ExpFloat64()*6, customer(), t, deadline)
 		}
 		at += meanPause * math.Pow(g.r.Float64(), -0.6) * 0.4
 	}
 }
 
-// group returns targets that wake together: some bases with their adapters.
+// group draws targets that are requested together: n bases, each with some of
+// its adapters.
 func (g *generator) group(n int) []ident.Target {
 	var out []ident.Target
 	for range n {
@@ -180,25 +182,26 @@
 	return out
 }
 
-// burst is a storm or an opening: requests for the group within some seconds,
-// most of them at the start.
-func (g *generator) burst(at, spread float64, targets []ident.Target, who []genCustomer, requests int, deadline float64) {
+// burst adds requests for targets between at and at+spread seconds, most of them
+// at the start.
+func (g *generator) burst(at, spread float64, targets []ident.Target, customers []genCustomer, requests int, deadline float64) {
 	for range requests {
 		off := spread * math.Pow(g.r.Float64(), 2)
-		g.request(at+off, who[g.r.IntN(len(who))].Name, targets[g.r.IntN(len(targets))], deadline)
+		g.request(at+off, customers[g.r.IntN(len(customers))].Name, targets[g.r.IntN(len(targets))], deadline)
 	}
 }
 
-// Kyushu generates six hours at the Consortium with three storms: 18 servers of
-// the shared pool, 100 models, 120 adapters, a store of 10 loads/s, 4 at once.
-// The 4 servers of the intake application are plain and need no loads.
+// Kyushu generates six hours at the Consortium with three storms, which cause
+// bursts: 18 endpoints of the shared pool, 100 models, 120 adapters, and a store
+// of 10 loads/s, 4 of them concurrent. The 4 endpoints of the intake application
+// are plain services, need no loads and are left out.
 func Kyushu(seed uint64, faults bool) *Trace {
 	const hours, deadline = 6, 60.0
 	g := newGenerator(seed, "kyushu")
 	g.t.World.Entries, g.t.World.StoreRate = 4, 10
 	g.hosts(18, []ident.Zone{"fukuoka", "kumamoto", "kagoshima", "oita"}, 160*gigabyte)
 	g.models(100, 120)
-	g.scatter(0.1)
+	g.fillDisks(0.1)
 	members := customers("utility", 8, record.Interactive)
 	g.record("kyushu", 0.8, deadline*time.Second, members)
 	anyone := func() string { return members[g.r.IntN(len(members))].Name }
@@ -210,24 +213,24 @@
 		g.burst(at, 120, area, members, 1500, deadline)
 	}
 	if faults {
-		g.fault(Line{At: 3605, Kind: KindLeaderOut, Seconds: 0.8})
+		g.fault(Line{At: 3605, Kind: KindLeaderLost, Seconds: 0.8})
 		g.fault(Line{At: 3620, Kind: KindDeath, Endpoint: "pool-03", Seconds: 120})
-		g.fault(Line{At: 3.5*3600 - 5, Kind: KindSlow, Factor: 10, Seconds: 90})
+		g.fault(Line{At: 3.5*3600 - 5, Kind: KindStoreSlow, Factor: 10, Seconds: 90})
 		g.fault(Line{At: 5*3600 + 10, Kind: KindReclaim, Endpoint: "pool-07", Seconds: 10})
 	}
-	return g.done()
+	return g.trace()
 }
 
 // Kigali generates a day at the Licensing Office: offices open at eight, and
-// inspectors send batches of certificates at night. 12 servers, 65 models, 80
-// adapters, a store of 7 loads/s, 4 at once.
+// inspectors send batches of certificates at night. There are 12 endpoints, 65
+// models, 80 adapters, and a store of 7 loads/s, 4 of them concurrent.
 func Kigali(seed uint64, faults bool) *Trace {
 	const deadline = 60.0
 	g := newGenerator(seed, "kigali")
 	g.t.World.Entries, g.t.World.StoreRate = 3, 7
 	g.hosts(12, []ident.Zone{"nyarugenge", "gasabo", "kicukiro", "remera"}, 160*gigabyte)
 	g.models(65, 80)
-	g.scatter(0.1)
+	g.fillDisks(0.1)
 	offices := customers("office", 6, record.Interactive)
 	inspectors := customers("inspectors", 2, record.Batch)
 	g.record("kigali", 0.3, time.Hour, append(slices.Clone(offices), inspectors...))
@@ -244,22 +247,22 @@
 		}
 	}
 	if faults {
-		g.fault(Line{At: 8*3600 + 5, Kind: KindLeaderOut, Seconds: 0.8})
+		g.fault(Line{At: 8*3600 + 5, Kind: KindLeaderLost, Seconds: 0.8})
 		g.fault(Line{At: 8*3600 + 20, Kind: KindDeath, Endpoint: "pool-02", Seconds: 120})
-		g.fault(Line{At: 21 * 3600, Kind: KindSlow, Factor: 10, Seconds: 300})
+		g.fault(Line{At: 21 * 3600, Kind: KindStoreSlow, Factor: 10, Seconds: 300})
 	}
-	return g.done()
+	return g.trace()
 }
 
-// Random generates a short, crowded trace with random faults, for the search
-// for broken promises.
+// Random generates a short trace with scarce memory and random faults, to search
+// for violations of the guarantees.
 func Random(seed uint64) *Trace {
 	g := newGenerator(seed, "random")
 	g.t.World.Entries, g.t.World.StoreRate = 1+g.r.IntN(3), 5
 	n := 2 + g.r.IntN(3)
 	g.hosts(n, []ident.Zone{"a", "b"}, int64(60+g.r.IntN(100))*gigabyte)
 	g.models(3+g.r.IntN(6), 4)
-	g.scatter(0.2)
+	g.fillDisks(0.2)
 	cs := customers("customer", 3, record.Interactive)
 	g.record("place", g.r.Float64(), 30*time.Second, cs)
 	for range 60 {
@@ -274,10 +277,10 @@
 		case 1:
 			g.fault(Line{At: at, Kind: KindReclaim, Endpoint: host, Seconds: g.r.Float64() * 10})
 		case 2:
-			g.fault(Line{At: at, Kind: KindSlow, Factor: 10, Seconds: 20})
+			g.fault(Line{At: at, Kind: KindStoreSlow, Factor: 10, Seconds: 20})
 		default:
-			g.fault(Line{At: at, Kind: KindLeaderOut, Seconds: 1})
+			g.fault(Line{At: at, Kind: KindLeaderLost, Seconds: 1})
 		}
 	}
-	return g.done()
+	return g.trace()
 }
--- a/internal/app/replay/host.go
+++ b/internal/app/replay/host.go
@@ -11,27 +11,27 @@
 	"github.com/cassiapass/cassiapass/internal/core/state"
 )
 
-// host is one endpoint: the real ledger and admission queue before an engine
-// that is a timer.
+// host is one endpoint: the production ledger and admission queue in front of
+// an engine that is a timer.
 type host struct {
-	r       *runner
-	w       WorldHost
-	up      bool
-	leaving bool
-	life    int // counts incarnations; events of an earlier life are ignored
-	ledger  *ledger.Ledger
-	queue   *admission.Queue
-	waiting map[ident.Attempt]*request
-	running map[ident.Attempt]*request
-	held    map[ident.Target]*engineModel
-	disk    map[ident.Target]bool
-	used    map[ident.Index]time.Time
-	loaded  []placement.LoadTime
-	cached  []placement.CachedAt
-	full    bool
+	r           *runner
+	spec        WorldHost
+	up          bool
+	leaving     bool
+	incarnation int // events of an earlier incarnation are ignored
+	ledger      *ledger.Ledger
+	queue       *admission.Queue
+	waiting     map[ident.Attempt]*request
+	running     map[ident.Attempt]*request
+	held        map[ident.Target]*engineModel
+	disk        map[ident.Target]bool
+	used        map[ident.Index]time.Time
+	loaded      []placement.LoadTime
+	cached      []placement.CachedAt
+	fullReport  bool
 }
 
-// engineModel is what the engine holds.
+// engineModel is a model or adapter that the engine holds or loads.
 type engineModel struct {
 	bytes   int64
 	loading bool
@@ -39,46 +39,46 @@
 }
 
 const (
-	queueBound   = 256
-	longestOrder = 2 * time.Minute
-	expectedRun  = 3 * time.Second
+	maxQueue            = 256
+	maxOrderTime        = 2 * time.Minute
+	expectedServiceTime = 3 * time.Second
 )
 
-// start begins a life of the endpoint: a new agent and an empty engine.
+// start starts a new incarnation of the endpoint: a new agent and an empty engine.
 func (h *host) start() {
 	if h.up {
 		return
 	}
 	h.up, h.leaving = true, false
-	h.life++
-	h.ledger = ledger.New(ledger.Config{Memory: h.w.Memory, HonoursFence: true, LongestOrder: longestOrder, AskEvery: time.Second}, h.r.now)
-	h.queue = admission.New(admission.Config{Slots: h.w.Slots, MaxQueue: queueBound, Expected: expectedRun})
+	h.incarnation++
+	h.ledger = ledger.New(ledger.Config{Memory: h.spec.Memory, HonoursFence: true, LongestOrder: maxOrderTime, AskEvery: time.Second}, h.r.now)
+	h.queue = admission.New(admission.Config{Slots: h.spec.Slots, MaxQueue: maxQueue, Expected: expectedServiceTime})
 	h.waiting, h.running = map[ident.Attempt]*request{}, map[ident.Attempt]*request{}
 	h.held, h.used = map[ident.Target]*engineModel{}, map[ident.Index]time.Time{}
-	h.full = true
-	life := h.life
+	h.fullReport = true
+	incarnation := h.incarnation
 	h.r.commit(h.registration("process started"), true)
 	h.r.after(2*commitDelay, func() {
-		if !h.alive(life) {
+		if !h.alive(incarnation) {
 			return
 		}
 		h.ledger.Registered(h.r.index)
 		h.ledger.FloorSet(h.r.now)
-		for _, id := range h.r.st.ByHost(h.w.Host) {
+		for _, id := range h.r.st.ByHost(h.spec.Host) {
 			rep, _ := h.r.st.Replica(id)
-			h.decide(rep)
+			h.applyGrant(rep)
 		}
 	})
 }
 
-func (h *host) alive(life int) bool { return h.up && h.life == life }
+func (h *host) alive(incarnation int) bool { return h.up && h.incarnation == incarnation }
 
 func (h *host) registration(reason string) state.Command {
-	e := state.Endpoint{Host: h.w.Host, Incarnation: ident.Incarnation(h.life), Addr: "10.0.0.1:1", Zone: h.w.Zone, Place: h.r.trace.World.placeName(), Memory: h.w.Memory, Slots: h.w.Slots, Up: true, Leaving: h.leaving}
+	e := state.Endpoint{Host: h.spec.Host, Incarnation: ident.Incarnation(h.incarnation), Addr: "10.0.0.1:1", Zone: h.spec.Zone, Place: h.r.trace.World.placeName(), Memory: h.spec.Memory, Slots: h.spec.Slots, Up: true, Leaving: h.leaving}
 	return state.Command{By: "agent", Endpoint: &state.EndpointSet{Endpoint: e, Reason: reason}}
 }
 
-// placeName returns the place that the records name.
+// placeName returns the place named in the generated records.
 func (w World) placeName() string {
 	if w.Name == "random" {
 		return "place"
@@ -86,41 +86,43 @@
 	return w.Name
 }
 
-// die ends the life: running requests are lost, memory is free.
+// die ends the incarnation: running requests are lost, and the engine is empty.
+// The endpoint is marked down when its lease ends, and removed later unless it
+// has started again.
 func (h *host) die() {
 	if !h.up {
 		return
 	}
 	h.up = false
-	life := h.life
+	incarnation := h.incarnation
 	for _, m := range h.held {
 		if m.load != nil {
-			h.r.store.drop(m.load)
+			h.r.store.cancel(m.load)
 		}
 	}
 	h.held = map[ident.Target]*engineModel{}
-	lost := append(values(h.running), values(h.waiting)...)
+	lost := append(sortedRequests(h.running), sortedRequests(h.waiting)...)
 	for _, q := range lost {
-		h.r.dispatch(q) // repeatable: sent elsewhere, or waits again
+		h.r.dispatch(q) // requests are repeatable: sent to another endpoint, or wait again
 	}
 	down := func(f func() state.Command) func() {
 		return func() {
-			if !h.up && h.life == life {
+			if !h.up && h.incarnation == incarnation {
 				h.r.commit(f(), true)
 			}
 		}
 	}
-	h.r.after(leaseTime, down(func() state.Command {
+	h.r.after(leaseDuration, down(func() state.Command {
 		c := h.registration("its lease ended")
 		c.Endpoint.Endpoint.Up = false
 		return c
 	}))
-	h.r.after(leaseTime+goneWait, down(func() state.Command {
-		return state.Command{Forget: &state.EndpointForget{Host: h.w.Host, Incarnation: ident.Incarnation(life), Reason: "gone"}}
+	h.r.after(leaseDuration+removeAfter, down(func() state.Command {
+		return state.Command{Forget: &state.EndpointForget{Host: h.spec.Host, Incarnation: ident.Incarnation(incarnation), Reason: "gone"}}
 	}))
 }
 
-func values(m map[ident.Attempt]*request) []*request {
+func sortedRequests(m map[ident.Attempt]*request) []*request {
 	out := make([]*request, 0, len(m))
 	for _, q := range m {
 		out = append(out, q)
@@ -129,12 +131,12 @@
 	return out
 }
 
-func (h *host) decide(rep state.Replica) {
+func (h *host) applyGrant(rep state.Replica) {
 	h.ledger.Decide(h.r.now, ledger.Grant{ID: rep.ID, Target: rep.Target, Bytes: rep.Bytes, Drain: rep.Phase == state.Draining, Ready: rep.Phase == state.Ready})
 	h.tick()
 }
 
-func (h *host) forget(id ident.Index) {
+func (h *host) removeReplica(id ident.Index) {
 	delete(h.used, id)
 	h.ledger.Forget(h.r.now, id)
 	h.tick()
@@ -145,7 +147,8 @@
 	return ok
 }
 
-// tick carries out what the ledger and the queue call for.
+// tick drops expired requests, sends the queued requests of draining replicas
+// elsewhere, and carries out the orders of the ledger.
 func (h *host) tick() {
 	if !h.up {
 		return
@@ -167,45 +170,45 @@
 	for _, o := range h.ledger.Orders(now, busy) {
 		h.order(o)
 	}
-	h.tell(h.ledger.Withdraw(now))
+	h.commitEvents(h.ledger.Withdraw(now))
 }
 
-func (h *host) drop(a ident.Attempt, why string) {
+func (h *host) drop(a ident.Attempt, reason string) {
 	q := h.waiting[a]
 	delete(h.waiting, a)
-	h.r.ended(q, why)
+	h.r.requestEnded(q, reason)
 }
 
-// order carries out an order at the engine.
+// order carries out an order of the ledger at the engine.
 func (h *host) order(o ledger.Order) {
-	life := h.life
+	incarnation := h.incarnation
 	switch o.Kind {
 	case ledger.OrderList:
 		asked := h.r.now
 		h.r.after(messageDelay, func() {
-			if !h.alive(life) {
+			if !h.alive(incarnation) {
 				return
 			}
 			var held []ledger.Held
 			for t, m := range h.held {
 				held = append(held, ledger.Held{Target: t, Bytes: m.bytes, Loading: m.loading})
 			}
-			h.tell(h.ledger.Sync(h.r.now, asked, held))
+			h.commitEvents(h.ledger.Sync(h.r.now, asked, held))
 			h.tick()
 		})
 	case ledger.OrderUnload:
-		h.r.after(unloadTakes, func() {
-			if h.alive(life) {
+		h.r.after(unloadDuration, func() {
+			if h.alive(incarnation) {
 				delete(h.held, o.Target)
 				h.done(o)
 			}
 		})
 	case ledger.OrderLoad:
-		h.load(o, life)
+		h.load(o, incarnation)
 	}
 }
 
-func (h *host) load(o ledger.Order, life int) {
+func (h *host) load(o ledger.Order, incarnation int) {
 	m := &engineModel{bytes: o.Bytes, loading: true}
 	h.held[o.Target] = m
 	h.checkEngine()
@@ -213,7 +216,7 @@
 	begin := h.r.now
 	source := placement.FromRemote
 	finish := func() {
-		if !h.alive(life) || h.held[o.Target] != m {
+		if !h.alive(incarnation) || h.held[o.Target] != m {
 			return
 		}
 		m.loading, m.load = false, nil
@@ -232,40 +235,41 @@
 	m.load = h.r.store.add(o.Bytes, finish)
 }
 
-// checkEngine compares what the engine really holds with its memory: the
-// promise, measured where it counts.
+// checkEngine checks that the models the engine actually holds fit its memory.
+// It panics if they do not.
 func (h *host) checkEngine() {
 	sum := int64(0)
 	for _, m := range h.held {
 		sum += m.bytes
 	}
-	h.r.rep.PeakMemory = max(h.r.rep.PeakMemory, float64(sum)/float64(h.w.Memory))
-	if sum > h.w.Memory {
-		panic(fmt.Sprintf("invariant: replay: %s holds %d bytes of %d", h.w.Host, sum, h.w.Memory))
+	h.r.rep.PeakMemory = max(h.r.rep.PeakMemory, float64(sum)/float64(h.spec.Memory))
+	if sum > h.spec.Memory {
+		panic(fmt.Sprintf("invariant: replay: %s holds %d bytes of %d", h.spec.Host, sum, h.spec.Memory))
 	}
 }
 
 func (h *host) done(o ledger.Order) {
-	h.tell(h.ledger.Finished(h.r.now, o, ledger.Done))
+	h.commitEvents(h.ledger.Finished(h.r.now, o, ledger.Done))
 	h.tick()
 }
 
-// tell has events committed.
-func (h *host) tell(events []ledger.Event) {
+// commitEvents proposes the new phases of replicas to the leader.
+func (h *host) commitEvents(events []ledger.Event) {
 	for _, e := range events {
 		set := &state.ReplicaSet{ID: e.ID, Phase: state.Ready, Reason: e.Reason}
 		if !e.Ready {
 			set.Phase, set.Gone = "", true
 		}
-		h.r.commit(state.Command{By: string(h.w.Host), Replica: set}, true)
+		h.r.commit(state.Command{By: string(h.spec.Host), Replica: set}, true)
 	}
 }
 
-// offer asks for admission; false if the endpoint refuses.
+// offer offers a request to the admission queue. It returns false if the
+// endpoint refuses it.
 func (h *host) offer(q *request, replica ident.Index) bool {
 	q.attempt++
 	a := ident.Attempt{Request: q.id, Number: q.attempt}
-	d := h.queue.Offer(h.r.now, admission.Request{Attempt: a, Replica: replica, Customer: q.cust.Name, Weight: float64(q.cust.ReplicasSold), Priority: q.cust.Priority, Deadline: q.deadline()})
+	d := h.queue.Offer(h.r.now, admission.Request{Attempt: a, Replica: replica, Customer: q.customer.Name, Weight: float64(q.customer.ReplicasSold), Priority: q.customer.Priority, Deadline: q.deadline()})
 	switch d.Verdict {
 	case admission.Run:
 		h.begin(a, q, replica)
@@ -278,25 +282,25 @@
 	return true
 }
 
-// begin runs a request for as long as its tokens take.
+// begin runs a request for the time of its first token and its output tokens.
 func (h *host) begin(a ident.Attempt, q *request, replica ident.Index) {
-	life, w := h.life, h.r.trace.World
+	incarnation, w := h.incarnation, h.r.trace.World
 	h.running[a] = q
 	h.used[replica] = h.r.now
 	first := seconds(w.FirstToken)
 	h.r.after(first, func() {
-		if h.alive(life) && h.running[a] == q {
+		if h.alive(incarnation) && h.running[a] == q {
 			h.r.rep.started(q, h.r.now.Sub(q.arrived))
 		}
 	})
 	h.r.after(first+seconds(float64(q.line.Out)*w.PerToken), func() {
-		if !h.alive(life) || h.running[a] != q {
+		if !h.alive(incarnation) || h.running[a] != q {
 			return
 		}
 		delete(h.running, a)
 		h.used[replica] = h.r.now
 		h.queue.Finish(h.r.now, a)
-		h.r.ended(q, "")
+		h.r.requestEnded(q, "")
 		for _, x := range h.queue.Next(h.r.now) {
 			next := h.waiting[x.Attempt]
 			delete(h.waiting, x.Attempt)
@@ -306,10 +310,11 @@
 	})
 }
 
-// report is what the agent's beat would carry.
+// report returns what the agent's heartbeat would carry; false if there is
+// nothing to report.
 func (h *host) report() (placement.Report, bool) {
-	rep := placement.Report{Host: h.w.Host, Incarnation: ident.Incarnation(h.life), Loaded: h.loaded, Cached: h.cached, Full: h.full}
-	if h.full {
+	rep := placement.Report{Host: h.spec.Host, Incarnation: ident.Incarnation(h.incarnation), Loaded: h.loaded, Cached: h.cached, Full: h.fullReport}
+	if h.fullReport {
 		rep.Cached = nil
 		for t := range h.disk {
 			rep.Cached = append(rep.Cached, placement.CachedAt{Target: t, Source: placement.FromDisk})
@@ -325,6 +330,6 @@
 	if !h.up || (len(rep.Replicas) == 0 && len(rep.Cached) == 0 && len(rep.Loaded) == 0 && !rep.Full) {
 		return rep, false
 	}
-	h.loaded, h.cached, h.full = nil, nil, false
+	h.loaded, h.cached, h.fullReport = nil, nil, false
 	return rep, true
 }
--- a/internal/app/replay/main.go
+++ b/internal/app/replay/main.go
@@ -11,18 +11,18 @@
 	"github.com/cassiapass/cassiapass/internal/core/placement"
 )
 
-// Options of cassiapass-replay.
+// mainOptions are the options of cassiapass-replay.
 type mainOptions struct {
-	Trace    string  `long:"trace" env:"CASSIAPASS_TRACE" description:"trace file of JSON lines, - for standard input; generated if empty"`
-	Generate string  `long:"generate" env:"CASSIAPASS_GENERATE" default:"kyushu" description:"kyushu, kigali or random: the trace to generate"`
-	Seed     uint64  `long:"seed" env:"CASSIAPASS_SEED" default:"1" description:"seed of the generator"`
-	Faults   bool    `long:"faults" env:"CASSIAPASS_FAULTS" description:"add the generator's faults"`
-	Write    string  `long:"write" env:"CASSIAPASS_WRITE" description:"write the trace to this file and do nothing else"`
-	Policy   string  `long:"policy" env:"CASSIAPASS_POLICY" default:"all" description:"history, fixed, never or all"`
-	Cold     float64 `long:"cold-value" env:"CASSIAPASS_COLD_VALUE" description:"seconds of idle time that one second of cold start is worth; 0 keeps the default"`
-	Check    bool    `long:"check" env:"CASSIAPASS_CHECK" description:"verify the promises after every command"`
-	JSON     bool    `long:"json" env:"CASSIAPASS_JSON" description:"print JSON instead of a table"`
-	Plot     string  `long:"plot" env:"CASSIAPASS_PLOT" description:"write plots to this file, .svg or .png"`
+	Trace     string  `long:"trace" env:"CASSIAPASS_TRACE" description:"trace file of JSON lines, - for standard input; generated if empty"`
+	Generate  string  `long:"generate" env:"CASSIAPASS_GENERATE" default:"kyushu" description:"kyushu, kigali or random: the trace to generate"`
+	Seed      uint64  `long:"seed" env:"CASSIAPASS_SEED" default:"1" description:"seed of the generator"`
+	Faults    bool    `long:"faults" env:"CASSIAPASS_FAULTS" description:"add the generator's faults"`
+	Write     string  `long:"write" env:"CASSIAPASS_WRITE" description:"write the trace to this file and do nothing else"`
+	Policy    string  `long:"policy" env:"CASSIAPASS_POLICY" default:"all" description:"history, fixed, never or all"`
+	ColdValue float64 `long:"cold-value" env:"CASSIAPASS_COLD_VALUE" description:"seconds of idle time that one second of cold start is worth; 0 keeps the default"`
+	Check     bool    `long:"check" env:"CASSIAPASS_CHECK" description:"verify the promises after every command"`
+	JSON      bool    `long:"json" env:"CASSIAPASS_JSON" description:"print JSON instead of a table"`
+	Plot      string  `long:"plot" env:"CASSIAPASS_PLOT" description:"write plots to this file, .svg or .png"`
 }
 
 // Main runs cassiapass-replay.
@@ -53,8 +53,8 @@
 	for _, p := range policies(o.Policy) {
 		cfg := placement.DefaultConfig()
 		cfg.Policy = p
-		if o.Cold > 0 {
-			cfg.KeepAlive.ColdValue = o.Cold
+		if o.ColdValue > 0 {
+			cfg.KeepAlive.ColdValue = o.ColdValue
 		}
 		rep, err := Run(t, Options{Placement: cfg, Check: o.Check})
 		if err != nil {
--- a/internal/app/replay/plot.go
+++ b/internal/app/replay/plot.go
@@ -9,8 +9,8 @@
 
 const sampleStep = 30 // seconds per point
 
-// Plot draws the reports into a file: the distribution of cold-start times
-// above, the memory held idle over time below.
+// Plot writes two plots of the reports to file: the distribution of cold-start
+// times, and below it the memory held idle over time.
 func Plot(file string, reps []*Report) error {
 	top, err := distribution(reps)
 	if err != nil {
--- a/internal/app/replay/replay_test.go
+++ b/internal/app/replay/replay_test.go
@@ -18,8 +18,8 @@
 	return Options{Placement: cfg, Check: true}
 }
 
-// schedules returns how many random schedules to search: a fixed set in CI,
-// more on request.
+// schedules returns the number of random schedules to run: ci, unless
+// CASSIAPASS_SCHEDULES gives another number.
 func schedules(ci int) int {
 	if n, err := strconv.Atoi(os.Getenv("CASSIAPASS_SCHEDULES")); err == nil {
 		return n
@@ -27,12 +27,11 @@
 	return ci
 }
 
-// Symptom: more replicas are loaded than were decided, memory is overcommitted,
-// or a waiting request is dropped.
-// Sequence: crowded random traces with endpoints dying and returning, hosts
-// reclaimed, a slow store and lost leaders, in any order and at once.
-// Cause looked for: any decision made on a state that has moved on. The state,
-// the ledgers, the queues and the engines' own memory are checked at each step.
+// Guards against decisions made on stale state: more replicas are loaded than were
+// decided, memory is overcommitted, or a waiting request is dropped. The random
+// traces have scarce memory; endpoints die and return, hosts are reclaimed, the
+// store is slow and leaders are lost, in any order and concurrently. The state, the
+// ledgers, the queues and the engines' own memory are checked at each step.
 func TestRandomSchedulesKeepTheTwoPromises(t *testing.T) {
 	n := schedules(240)
 	const workers = 8
@@ -61,7 +60,7 @@
 	is.NoErr(err)
 	second, err := Run(got, options(placement.PolicyHistory))
 	is.NoErr(err)
-	is.Equal(first.Loads, second.Loads) // a replay repeats itself
+	is.Equal(first.Loads, second.Loads) // the same trace gives the same results
 	is.Equal(first.ColdP99, second.ColdP99)
 }
 
--- a/internal/app/replay/report.go
+++ b/internal/app/replay/report.go
@@ -20,41 +20,41 @@
 	histogramMin    = 1           // millisecond
 	histogramMax    = 7200 * 1000 // two hours
 	histogramDigits = 3
-	onTime          = 1900 * time.Millisecond // the promise of the generated records
+	onTime          = 1900 * time.Millisecond // firstAnswer of the generated records
 )
 
-// Report is what came of one replay.
+// Report is the result of one replay.
 type Report struct {
 	Trace    string `json:"trace"`
 	Policy   string `json:"policy"`
 	Requests int    `json:"requests"`
 	Cold     int    `json:"cold"`   // requests that waited for a load and were answered
-	Over10s  int    `json:"over10"` // of these, those that waited longer than 10 s
+	Over10s  int    `json:"over10"` // of these, those with the first token after more than 10 s
 
 	// Seconds from arrival to the first token of requests that waited for a
-	// load. A refused one counts with its whole deadline in ColdP99Refused.
+	// load. A refused request counts with its whole deadline in ColdP99Refused.
 	ColdP50        float64 `json:"coldP50"`
 	ColdP95        float64 `json:"coldP95"`
 	ColdP99        float64 `json:"coldP99"`
 	ColdP999       float64 `json:"coldP999"`
 	ColdP99Refused float64 `json:"coldP99WithRefused"`
 
-	OnTime           float64        `json:"onTime"` // share of all requests with the first token in time
+	OnTime           float64        `json:"onTime"` // share of all requests with the first token within the time limit
 	AcceleratorHours float64        `json:"idleAcceleratorHours"`
 	Loads            int            `json:"loads"`
 	Refused          map[string]int `json:"refused"`
 	UnfairP99        float64        `json:"unfairP99"`     // largest difference of cold p99 between equal customers, seconds
 	UnfairRefused    float64        `json:"unfairRefused"` // largest difference of their shares of refusals
 	PeakMemory       float64        `json:"peakMemory"`    // largest share of an endpoint's memory held
-	MostReplicas     int            `json:"mostReplicas"`  // of one target
-	MostStoreLoads   int            `json:"mostStoreLoads"`
+	MaxReplicas      int            `json:"mostReplicas"`  // of one target
+	MaxStoreLoads    int            `json:"mostStoreLoads"`
 	PlannerMicros    float64        `json:"plannerMicrosPerEvent"` // wall time of the planner per demand or report
 
-	cold    *hdrhistogram.Histogram
-	coldAll *hdrhistogram.Histogram // refused ones included
-	by      map[ident.Customer]*customerReport
-	inTime  int
-	samples []sample
+	cold      *hdrhistogram.Histogram
+	coldAll   *hdrhistogram.Histogram // includes refused requests
+	customers map[ident.Customer]*customerReport
+	inTime    int
+	samples   []sample
 }
 
 type customerReport struct {
@@ -64,7 +64,7 @@
 	batch    bool
 }
 
-// sample is one second for the plot.
+// sample is the memory of all engines at one second, in bytes, for the plot.
 type sample struct {
 	held, idle float64
 }
@@ -74,21 +74,21 @@
 }
 
 func newReport(trace, policy string) *Report {
-	return &Report{Trace: trace, Policy: policy, Refused: map[string]int{}, cold: newHistogram(), coldAll: newHistogram(), by: map[ident.Customer]*customerReport{}}
+	return &Report{Trace: trace, Policy: policy, Refused: map[string]int{}, cold: newHistogram(), coldAll: newHistogram(), customers: map[ident.Customer]*customerReport{}}
 }
 
-func (rep *Report) of(q *request) *customerReport {
-	c := rep.by[q.cust.Name]
+func (rep *Report) customer(q *request) *customerReport {
+	c := rep.customers[q.customer.Name]
 	if c == nil {
-		c = &customerReport{cold: newHistogram(), batch: q.cust.Priority == "batch"}
-		rep.by[q.cust.Name] = c
+		c = &customerReport{cold: newHistogram(), batch: q.customer.Priority == "batch"}
+		rep.customers[q.customer.Name] = c
 	}
 	return c
 }
 
 // started counts the first token of a request.
 func (rep *Report) started(q *request, took time.Duration) {
-	rep.of(q).requests++
+	rep.customer(q).requests++
 	if took <= onTime {
 		rep.inTime++
 	}
@@ -102,33 +102,34 @@
 	}
 	_ = rep.cold.RecordValue(ms)
 	_ = rep.coldAll.RecordValue(ms)
-	_ = rep.of(q).cold.RecordValue(ms)
+	_ = rep.customer(q).cold.RecordValue(ms)
 }
 
-func (rep *Report) refused(q *request, why string) {
-	rep.Refused[why]++
-	rep.of(q).requests++
-	rep.of(q).refused++
+func (rep *Report) refused(q *request, reason string) {
+	rep.Refused[reason]++
+	rep.customer(q).requests++
+	rep.customer(q).refused++
 	_ = rep.coldAll.RecordValue(int64(q.line.Deadline * 1000))
 }
 
-// decided notes the largest number of replicas decided and asserts the bound.
-func (rep *Report) decided(st *state.State, changes []state.Change) {
+// recordReplicas records the largest number of replicas of a target. It panics if a
+// grant exceeds the number sold.
+func (rep *Report) recordReplicas(st *state.State, changes []state.Change) {
 	for _, c := range changes {
 		if c.Replica == nil {
 			continue
 		}
 		n := st.Count(c.Replica.Target)
-		rep.MostReplicas = max(rep.MostReplicas, n)
+		rep.MaxReplicas = max(rep.MaxReplicas, n)
 		if c.Replica.Phase == state.Granted && n > st.Sold(c.Replica.Target) {
 			panic(fmt.Sprintf("invariant: replay: %d replicas of %s, %d sold", n, c.Replica.Target, st.Sold(c.Replica.Target)))
 		}
 	}
 }
 
-// account adds one second of one endpoint to the idle accelerator time.
-func (rep *Report) account(h *host, accelerator float64) {
-	if h == h.r.order[0] {
+// addIdleTime adds one second of one endpoint to the idle accelerator hours.
+func (rep *Report) addIdleTime(h *host, accelerator float64) {
+	if h == h.r.hostList[0] {
 		rep.samples = append(rep.samples, sample{})
 	}
 	s := &rep.samples[len(rep.samples)-1]
@@ -147,25 +148,25 @@
 }
 
 func (rep *Report) finish(r *runner) {
-	q := func(h *hdrhistogram.Histogram, p float64) float64 { return float64(h.ValueAtQuantile(p)) / 1000 }
-	rep.ColdP50, rep.ColdP95, rep.ColdP99, rep.ColdP999 = q(rep.cold, 50), q(rep.cold, 95), q(rep.cold, 99), q(rep.cold, 99.9)
-	rep.ColdP99Refused = q(rep.coldAll, 99)
+	quantile := func(h *hdrhistogram.Histogram, p float64) float64 { return float64(h.ValueAtQuantile(p)) / 1000 }
+	rep.ColdP50, rep.ColdP95, rep.ColdP99, rep.ColdP999 = quantile(rep.cold, 50), quantile(rep.cold, 95), quantile(rep.cold, 99), quantile(rep.cold, 99.9)
+	rep.ColdP99Refused = quantile(rep.coldAll, 99)
 	rep.OnTime = float64(rep.inTime) / float64(max(1, rep.Requests))
-	rep.MostStoreLoads = r.store.most
-	rep.PlannerMicros = float64(r.cost.Microseconds()) / float64(max(1, r.handled))
-	rep.fairness(q)
+	rep.MaxStoreLoads = r.store.maxLoads
+	rep.PlannerMicros = float64(r.plannerTime.Microseconds()) / float64(max(1, r.plannerEvents))
+	rep.fairness(quantile)
 	if r.active != 0 {
 		panic(fmt.Sprintf("invariant: replay: %d requests never ended", r.active))
 	}
 }
 
-func (rep *Report) fairness(q func(*hdrhistogram.Histogram, float64) float64) {
+func (rep *Report) fairness(quantile func(*hdrhistogram.Histogram, float64) float64) {
 	var p99, refused []float64
-	for _, c := range rep.by {
+	for _, c := range rep.customers {
 		if c.batch {
 			continue
 		}
-		p99 = append(p99, q(c.cold, 99))
+		p99 = append(p99, quantile(c.cold, 99))
 		refused = append(refused, float64(c.refused)/float64(max(1, c.requests)))
 	}
 	if len(p99) > 0 {
@@ -174,7 +175,7 @@
 	}
 }
 
-// Table writes reports side by side.
+// Table writes the reports as the columns of a table, and the lower bound.
 func Table(w io.Writer, reps []*Report, bound Bound) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
 	row := func(name string, f func(*Report) string) {
@@ -199,14 +200,14 @@
 	row("first token in time", func(r *Report) string { return fmt.Sprintf("%.2f %%", 100*r.OnTime) })
 	row("idle accelerator hours", func(r *Report) string { return fmt.Sprintf("%.1f", r.AcceleratorHours) })
 	row("loads", func(r *Report) string { return fmt.Sprint(r.Loads) })
-	for _, why := range reasons(reps) {
-		row("refused: "+why, func(r *Report) string { return fmt.Sprint(r.Refused[why]) })
+	for _, reason := range reasons(reps) {
+		row("refused: "+reason, func(r *Report) string { return fmt.Sprint(r.Refused[reason]) })
 	}
 	row("largest difference of p99 between equal customers", sec(func(r *Report) float64 { return r.UnfairP99 }))
 	row("largest difference of refusals", func(r *Report) string { return fmt.Sprintf("%.2f %%", 100*r.UnfairRefused) })
 	row("peak memory of limit", func(r *Report) string { return fmt.Sprintf("%.1f %%", 100*r.PeakMemory) })
-	row("most replicas of a target", func(r *Report) string { return fmt.Sprint(r.MostReplicas) })
-	row("most loads at the store", func(r *Report) string { return fmt.Sprint(r.MostStoreLoads) })
+	row("most replicas of a target", func(r *Report) string { return fmt.Sprint(r.MaxReplicas) })
+	row("most loads at the store", func(r *Report) string { return fmt.Sprint(r.MaxStoreLoads) })
 	row("planner time per event", func(r *Report) string { return fmt.Sprintf("%.1f us", r.PlannerMicros) })
 	if err := t.Flush(); err != nil {
 		return err
@@ -218,8 +219,8 @@
 func reasons(reps []*Report) []string {
 	all := map[string]bool{}
 	for _, r := range reps {
-		for why := range r.Refused {
-			all[why] = true
+		for reason := range r.Refused {
+			all[reason] = true
 		}
 	}
 	return slices.Sorted(maps.Keys(all))
--- a/internal/app/replay/store.go
+++ b/internal/app/replay/store.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// store is a weight store whose bandwidth is shared when more loads run than it
+// store is a weight store. Its bandwidth is shared when more loads run than it
 // serves at full speed.
 type store struct {
-	c          *clock
+	clock      *clock
 	speed      float64
 	concurrent int
-	slow       float64
+	slowdown   float64
 	loads      []*storeLoad
 	last       time.Time
 	version    int
-	most       int
+	maxLoads   int
 }
 
 type storeLoad struct {
@@ -20,18 +20,18 @@
 	done func()
 }
 
-// add starts a load.
+// add starts a load; done is called when it ends.
 func (s *store) add(bytes int64, done func()) *storeLoad {
 	s.advance()
 	l := &storeLoad{float64(bytes), done}
 	s.loads = append(s.loads, l)
-	s.most = max(s.most, len(s.loads))
+	s.maxLoads = max(s.maxLoads, len(s.loads))
 	s.schedule()
 	return l
 }
 
-// drop ends a load whose endpoint died.
-func (s *store) drop(l *storeLoad) {
+// cancel removes a load whose endpoint died, without calling its done.
+func (s *store) cancel(l *storeLoad) {
 	s.advance()
 	for i := range s.loads {
 		if s.loads[i] == l {
@@ -42,16 +42,16 @@
 	s.schedule()
 }
 
-// setSlow makes every load f times slower from now on.
-func (s *store) setSlow(f float64) {
+// setSlowdown makes every load f times slower from now on.
+func (s *store) setSlowdown(f float64) {
 	s.advance()
-	s.slow = f
+	s.slowdown = f
 	s.schedule()
 }
 
-// rate returns the present speed of each load.
+// rate returns the current speed of each load, in bytes a second.
 func (s *store) rate() float64 {
-	r := s.speed / max(s.slow, 1)
+	r := s.speed / max(s.slowdown, 1)
 	if n := len(s.loads); n > s.concurrent {
 		r *= float64(s.concurrent) / float64(n)
 	}
@@ -59,25 +59,25 @@
 }
 
 func (s *store) advance() {
-	d := s.c.now.Sub(s.last).Seconds()
-	s.last = s.c.now
+	d := s.clock.now.Sub(s.last).Seconds()
+	s.last = s.clock.now
 	for _, l := range s.loads {
 		l.left -= d * s.rate()
 	}
 }
 
-// schedule plans the end of the load that ends first.
+// schedule schedules the end of the load that ends first.
 func (s *store) schedule() {
 	s.version++
 	v := s.version
 	if len(s.loads) == 0 {
 		return
 	}
-	least := s.loads[0].left
+	minLeft := s.loads[0].left
 	for _, l := range s.loads {
-		least = min(least, l.left)
+		minLeft = min(minLeft, l.left)
 	}
-	s.c.after(seconds(max(least, 0)/s.rate())+time.Microsecond, func() {
+	s.clock.after(seconds(max(minLeft, 0)/s.rate())+time.Microsecond, func() {
 		if v == s.version {
 			s.finish()
 		}
--- a/internal/app/replay/trace.go
+++ b/internal/app/replay/trace.go
@@ -10,21 +10,21 @@
 	"github.com/cassiapass/cassiapass/internal/core/record"
 )
 
-// Kind tells what a line of a trace is.
+// Kind is the kind of a line of a trace.
 type Kind string
 
-// The kinds of lines. The first line is the world, the others are ordered by
+// The kinds of lines. The first line is the world; the others are ordered by
 // time.
 const (
-	KindWorld     Kind = "world"
-	KindRequest   Kind = "request"
-	KindDeath     Kind = "endpoint-death" // endpoint and engine die, and return after Seconds
-	KindReclaim   Kind = "host-reclaimed" // the host is listed as leaving, then vanishes for good
-	KindSlow      Kind = "store-slow"     // the store is Factor times slower for Seconds
-	KindLeaderOut Kind = "leader-lost"    // no leader for Seconds, then one that knows only the log
+	KindWorld      Kind = "world"
+	KindRequest    Kind = "request"
+	KindDeath      Kind = "endpoint-death" // endpoint and engine die and restart after Seconds
+	KindReclaim    Kind = "host-reclaimed" // the host is listed as leaving and stops permanently after Seconds
+	KindStoreSlow  Kind = "store-slow"     // the store is Factor times slower for Seconds
+	KindLeaderLost Kind = "leader-lost"    // no leader for Seconds, then a new one that knows only the log
 )
 
-// Line is one line of a trace, in JSON.
+// Line is one line of a trace, encoded as JSON.
 type Line struct {
 	At   float64 `json:"at"` // seconds from the start
 	Kind Kind    `json:"kind"`
@@ -34,7 +34,7 @@
 	Target     ident.Target   `json:"target,omitzero"`
 	In         int            `json:"in,omitempty"`       // prompt tokens
 	Out        int            `json:"out,omitempty"`      // generated tokens
-	Deadline   float64        `json:"deadline,omitempty"` // seconds in which the answer has to start
+	Deadline   float64        `json:"deadline,omitempty"` // seconds within which the answer has to start
 	Repeatable bool           `json:"repeatable,omitempty"`
 
 	// Of faults.
@@ -45,23 +45,23 @@
 	World *World `json:"world,omitempty"`
 }
 
-// World is what a trace runs against.
+// World describes the records, the endpoints and the speeds that a trace runs against.
 type World struct {
 	Name            string      `json:"name"`
 	Records         []string    `json:"records"`
 	Endpoints       []WorldHost `json:"endpoints"`
 	Entries         int         `json:"entries"`
-	Accelerator     float64     `json:"acceleratorBytes"` // memory of one accelerator, for accelerator hours
+	Accelerator     float64     `json:"acceleratorBytes"` // memory of one accelerator, to compute accelerator hours
 	StoreRate       float64     `json:"storeRate"`
 	StoreConcurrent int         `json:"storeConcurrent"`
-	StoreSpeed      float64     `json:"storeSpeed"` // bytes per second of one load at full speed
+	StoreSpeed      float64     `json:"storeSpeed"` // bytes a second of one load at full speed
 	DiskSpeed       float64     `json:"diskSpeed"`
 	MemorySpeed     float64     `json:"memorySpeed"`
 	FirstToken      float64     `json:"firstToken"` // seconds of prefill
 	PerToken        float64     `json:"perToken"`   // seconds
 }
 
-// WorldHost is one endpoint.
+// WorldHost describes one endpoint.
 type WorldHost struct {
 	Host   ident.HostID   `json:"host"`
 	Zone   ident.Zone     `json:"zone"`
@@ -70,13 +70,13 @@
 	Disk   []ident.Target `json:"disk,omitempty"` // checkpoints on disk at the start
 }
 
-// Trace is a world with what happens to it.
+// Trace is a world with the requests and faults to replay against it.
 type Trace struct {
 	World World
 	Lines []Line
 }
 
-// Write writes a trace as JSON lines.
+// Write writes a trace as JSON lines, the world first.
 func (t *Trace) Write(w io.Writer) error {
 	enc := json.NewEncoder(w)
 	if err := enc.Encode(Line{Kind: KindWorld, World: &t.World}); err != nil {
