--- a/internal/app/capacity/control.go
+++ b/internal/app/capacity/control.go
@@ -26,21 +26,22 @@
 )
 
 const (
-	clockTicks  = 100 // per second, the unit of /proc/PID/stat
-	idleWindow  = 8 * time.Second
-	changesEach = 60
-	changePause = 50 * time.Millisecond
+	clockTicks     = 100 // per second; processor times in /proc/PID/stat are in ticks
+	idleWindow     = 8 * time.Second
+	changesPerSize = 60
+	changePause    = 50 * time.Millisecond
 )
 
-// target is the control process that is measured from outside.
+// target is the control process to measure, which runs separately.
 type target struct {
-	addr string // for processes
-	url  string // for operators
+	addr string // that processes connect to
+	url  string // of the operator listener
 	pid  int
 	key  []byte
 }
 
-// usage reads the processor time and resident memory of the control process.
+// usage returns the processor time of the control process and its resident memory
+// in bytes.
 func (t target) usage() (cpu time.Duration, rss float64, err error) {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", t.pid))
 	if err != nil {
@@ -53,54 +54,54 @@
 	return time.Duration((user + system) / clockTicks * float64(time.Second)), pages * float64(os.Getpagesize()), nil
 }
 
-// crowd is a number of subscribers.
-type crowd struct {
-	fs    []*follow.Follower
-	count *rpc.Counter
-	mu    sync.Mutex
-	seen  map[ident.Index][]time.Time // when each subscriber had a configuration in force
+// subscribers is a set of followers that subscribe to one control process.
+type subscribers struct {
+	followers []*follow.Follower
+	counter   *rpc.Counter
+	mu        sync.Mutex
+	inForceAt map[ident.Index][]time.Time // by configuration: when it was in force at each subscriber
 }
 
-func (t target) subscribe(n int, role wire.Role) *crowd {
-	c := &crowd{count: &rpc.Counter{}, seen: map[ident.Index][]time.Time{}}
+func (t target) subscribe(n int, role wire.Role) *subscribers {
+	c := &subscribers{counter: &rpc.Counter{}, inForceAt: map[ident.Index][]time.Time{}}
 	for i := range n {
 		var f *follow.Follower
 		last := ident.Index(0)
 		f = follow.New(follow.Config{
 			Process: wire.Process{Role: role, Host: ident.HostID(fmt.Sprintf("%s-%d", role, i)), Incarnation: ident.Incarnation(time.Now().UnixNano())},
-			Group:   ident.DefaultGroup, Control: []string{t.addr}, Security: rpc.Security{Key: t.key}, Count: c.count, Log: zerolog.Nop(),
+			Group:   ident.DefaultGroup, Control: []string{t.addr}, Security: rpc.Security{Key: t.key}, Count: c.counter, Log: zerolog.Nop(),
 			Changed: func() {
 				var cfg ident.Index
 				f.Read(func(v *view.View) { cfg = v.Config() })
 				if cfg > last {
 					last = cfg
-					c.note(cfg)
+					c.recordInForce(cfg)
 				}
 			},
 		})
 		f.Start()
-		c.fs = append(c.fs, f)
+		c.followers = append(c.followers, f)
 	}
 	return c
 }
 
-func (c *crowd) note(i ident.Index) {
+func (c *subscribers) recordInForce(i ident.Index) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.seen[i] = append(c.seen[i], now)
+	c.inForceAt[i] = append(c.inForceAt[i], now)
 }
 
-func (c *crowd) stop() {
+func (c *subscribers) stop() {
 	var wg sync.WaitGroup
-	for _, f := range c.fs {
+	for _, f := range c.followers {
 		wg.Go(f.Stop)
 	}
 	wg.Wait()
 }
 
-func (c *crowd) ready(ctx context.Context) error {
-	for _, f := range c.fs {
+func (c *subscribers) ready(ctx context.Context) error {
+	for _, f := range c.followers {
 		for !f.Ready() {
 			if ctx.Err() != nil {
 				return ctx.Err()
@@ -111,7 +112,8 @@
 	return nil
 }
 
-// sampleRecord is a record of ordinary size with the given adapters.
+// sampleRecord returns a record of ordinary size with the given number of adapters.
+// Records with different salts differ in one limit.
 func sampleRecord(name string, adapters, salt int) record.Text {
 	var as []string
 	for i := range adapters {
@@ -122,7 +124,7 @@
  "models":[{"name":%q,"version":"1","bytes":8000000000,"adapters":[%s]}]}`, name, name, []byte(name), 1+salt, "model-"+name, strings.Join(as, ",")))
 }
 
-// submit writes a record through the operators' interface.
+// submit writes a record through the operator listener and returns its revision.
 func (t target) submit(raw record.Text, base ident.Index) (ident.Index, error) {
 	body, err := json.Marshal(control.Change{Request: fmt.Sprint(time.Now().UnixNano()), Base: base, Record: raw})
 	if err != nil {
@@ -143,9 +145,10 @@
 	return out.Revision, nil
 }
 
-// measureControl measures a control process against its subscribers.
+// measureControl measures the cost of a control process at several numbers of
+// subscribers.
 func (r *Results) measureControl(ctx context.Context, t target, sizes []int) error {
-	var cpu, mem, bytesIdle, perChange, inForce, worst, node []Point
+	var cpu, mem, bytesIdle, perChange, inForce, slowestInForce, node []Point
 	base, err := t.submit(sampleRecord("steady", 8, 0), 0)
 	if err != nil {
 		return err
@@ -156,8 +159,8 @@
 			return err
 		}
 		time.Sleep(time.Second)
-		b0, c0, begin := c.count.In.Load()+c.count.Out.Load(), time.Duration(0), time.Now()
-		mine := processCPU()
+		b0, c0, begin := c.counter.In.Load()+c.counter.Out.Load(), time.Duration(0), time.Now()
+		ownCPU := processCPU()
 		if c0, _, err = t.usage(); err != nil {
 			return err
 		}
@@ -169,13 +172,13 @@
 		took := time.Since(begin).Seconds()
 		idle := (c1 - c0).Seconds() / took
 		size := float64(n)
-		node = append(node, Point{size, 100 * (processCPU() - mine).Seconds() / took / size})
+		node = append(node, Point{size, 100 * (processCPU() - ownCPU).Seconds() / took / size})
 		cpu = append(cpu, Point{size, 100 * idle})
 		mem = append(mem, Point{size, rss / 1e6})
-		bytesIdle = append(bytesIdle, Point{size, float64(c.count.In.Load()+c.count.Out.Load()-b0) / took / size})
+		bytesIdle = append(bytesIdle, Point{size, float64(c.counter.In.Load()+c.counter.Out.Load()-b0) / took / size})
 		begin = time.Now()
 		sent := map[ident.Index]time.Time{}
-		for k := range changesEach {
+		for k := range changesPerSize {
 			at := time.Now()
 			if base, err = t.submit(sampleRecord("steady", 8, k+1), base); err != nil {
 				return err
@@ -189,10 +192,10 @@
 			return err
 		}
 		busy := (c2 - c1).Seconds() - idle*time.Since(begin).Seconds()
-		perChange = append(perChange, Point{size, 1e3 * busy / changesEach})
-		p99, most := c.spread(sent, n)
+		perChange = append(perChange, Point{size, 1e3 * busy / changesPerSize})
+		p99, slowest := c.latency(sent, n)
 		inForce = append(inForce, Point{size, p99})
-		worst = append(worst, Point{size, most})
+		slowestInForce = append(slowestInForce, Point{size, slowest})
 		c.stop()
 	}
 	r.add("control_cpu_idle", "subscribers", "% of a core", cpu)
@@ -201,19 +204,19 @@
 	r.add("subscriber_bytes", "subscribers", "bytes/s each", bytesIdle)
 	r.add("control_cpu_per_change", "subscribers", "ms", perChange)
 	r.add("in_force_p99", "subscribers", "ms", inForce)
-	r.add("in_force_slowest", "subscribers", "ms", worst)
+	r.add("in_force_slowest", "subscribers", "ms", slowestInForce)
 	return nil
 }
 
-// spread returns the 99th percentile and the largest time from the submission
-// of a change to its being in force at a subscriber, in milliseconds. A change
-// that was overtaken by a newer one before it arrived counts with the newer one.
-func (c *crowd) spread(sent map[ident.Index]time.Time, n int) (p99, most float64) {
+// latency returns the 99th percentile and the largest time from the submission of a
+// change until it is in force at a subscriber, in milliseconds. A change that a
+// newer one replaces before it arrives counts with the newer one.
+func (c *subscribers) latency(sent map[ident.Index]time.Time, n int) (p99, slowest float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var all []float64
 	for i, at := range sent {
-		for _, seen := range c.seen[i] {
+		for _, seen := range c.inForceAt[i] {
 			all = append(all, float64(seen.Sub(at).Microseconds())/1e3)
 		}
 	}
@@ -224,8 +227,8 @@
 	return all[len(all)*99/100], all[len(all)-1]
 }
 
-// measureCatchUp measures what a subscriber that missed changes receives, and
-// how long it takes to be ready.
+// measureCatchUp measures how many bytes a subscriber that missed changes receives
+// and how long it takes to be ready.
 func (r *Results) measureCatchUp(ctx context.Context, t target, missed []int) error {
 	rev, err := t.submit(sampleRecord("catch-up", 8, 0), 0)
 	if err != nil {
@@ -238,7 +241,7 @@
 		if err := c.ready(ctx); err != nil {
 			return err
 		}
-		from := c.fs[0].Index()
+		from := c.followers[0].Index()
 		c.stop()
 		for range m {
 			salt++
@@ -258,8 +261,8 @@
 	return nil
 }
 
-// catchUp subscribes from an index and waits until everything up to another one
-// has arrived.
+// catchUp subscribes from index from and waits until all changes up to index to
+// have arrived. It returns the bytes received and the time in milliseconds.
 func (t target) catchUp(ctx context.Context, from, to ident.Index) (bytes, ms float64, err error) {
 	count := &rpc.Counter{}
 	done := make(chan struct{})
--- a/internal/app/capacity/inside.go
+++ b/internal/app/capacity/inside.go
@@ -16,8 +16,8 @@
 	"github.com/cassiapass/cassiapass/internal/core/view"
 )
 
-// heap returns the bytes in use after a collection.
-func heap() float64 {
+// heapBytes returns the bytes in use on the heap after a garbage collection.
+func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -25,47 +25,48 @@
 	return float64(m.HeapAlloc)
 }
 
-// measureMemory measures a process's view against adapters and the state
-// against records and claims.
+// measureMemory measures the memory of a process's view by the number of adapters
+// and that of the state by the numbers of records and claims.
 func (r *Results) measureMemory() error {
 	var views, states, claims []Point
 	for _, n := range []int{100, 1000, 4000, 8300} {
-		before := heap()
+		before := heapBytes()
 		v := view.New()
 		rec := state.Record{Name: "a", Revision: 1, Raw: sampleRecord("a", n, 0)}
 		if _, err := v.Reset(1, []state.Change{{Index: 1, Record: &rec}}); err != nil {
 			return err
 		}
-		views = append(views, Point{float64(n), (heap() - before) / 1e6})
+		views = append(views, Point{float64(n), (heapBytes() - before) / 1e6})
 		runtime.KeepAlive(v)
 	}
 	r.add("view_memory", "adapters", "MB", views)
 	for _, n := range []int{500, 1000, 2000} {
-		before := heap()
+		before := heapBytes()
 		st := state.New()
 		for i := range n {
 			st.Apply(ident.Index(i+1), state.Command{Time: time.Now(), Submit: &state.Submit{Request: fmt.Sprint(i), Raw: sampleRecord(fmt.Sprint("r", i), 8, 0)}})
 		}
-		states = append(states, Point{float64(n), (heap() - before) / 1e6})
+		states = append(states, Point{float64(n), (heapBytes() - before) / 1e6})
 		runtime.KeepAlive(st)
 	}
 	r.add("state_memory_records", "records", "MB", states)
 	for _, n := range []int{10000, 50000, 100000} {
-		before := heap()
+		before := heapBytes()
 		st := state.New()
 		for i := range n {
 			key := state.ClaimKey{Customer: "c", Service: "s", Key: fmt.Sprint("key-", i)}
 			st.Apply(ident.Index(2*i+1), state.Command{Time: time.Now(), Open: &state.OpenClaim{Key: key, Digest: fmt.Sprintf("%064d", i), Request: ident.RequestID(fmt.Sprint("request-", i)), Within: time.Minute}})
 			st.Apply(ident.Index(2*i+2), state.Command{Time: time.Now(), Settle: &state.SettleClaim{Key: key, Request: ident.RequestID(fmt.Sprint("request-", i)), Answer: &state.Answer{Status: 201, ContentType: "application/json", Body: make([]byte, 200)}}})
 		}
-		claims = append(claims, Point{float64(n), (heap() - before) / 1e6})
+		claims = append(claims, Point{float64(n), (heapBytes() - before) / 1e6})
 		runtime.KeepAlive(st)
 	}
 	r.add("state_memory_claims", "claims", "MB", claims)
 	return nil
 }
 
-// bigState makes a state with endpoints and loaded adapters.
+// bigState returns a state with endpoints and a base model loaded on two of them,
+// and the targets of its adapters.
 func bigState(endpoints, adapters int) (*state.State, []ident.Target) {
 	st := state.New()
 	i := ident.Index(0)
@@ -95,7 +96,7 @@
 }
 
 // measureDecisions measures the planner's time for one demand with its
-// decision, and for one pass over everything.
+// decision, and for one pass over all loaded adapters.
 func (r *Results) measureDecisions() {
 	decide := func(endpoints, adapters int) float64 {
 		st, ts := bigState(endpoints, adapters)
@@ -148,22 +149,22 @@
 	r.add("sweep_by_adapters", "adapters loaded", "ms", sweeps)
 }
 
-// measureCommits measures decided commands per second against synced writes to
-// the same disk.
+// measureCommits measures committed commands per second, and the time of a synced
+// write to the same disk for comparison.
 func (r *Results) measureCommits(ctx context.Context, propose func(context.Context, state.Command) error, dir string) error {
-	raw, err := rawSync(dir)
+	syncTime, err := rawSync(dir)
 	if err != nil {
 		return err
 	}
-	r.Single["raw_sync_us"] = raw
+	r.Single["raw_sync_us"] = syncTime
 	var rate, p99 []Point
 	for _, callers := range []int{1, 16, 64, 256} {
-		per, lat, err := commitRun(ctx, propose, callers)
+		perSecond, latency, err := commitRun(ctx, propose, callers)
 		if err != nil {
 			return err
 		}
-		rate = append(rate, Point{float64(callers), per})
-		p99 = append(p99, Point{float64(callers), lat})
+		rate = append(rate, Point{float64(callers), perSecond})
+		p99 = append(p99, Point{float64(callers), latency})
 	}
 	r.add("commits_per_second", "callers", "commits/s", rate)
 	r.add("commit_p99", "callers", "ms", p99)
--- a/internal/app/capacity/main.go
+++ b/internal/app/capacity/main.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	pageBegin = "<!-- worked out by cassiapass-capacity; do not edit -->"
-	pageEnd   = "<!-- end of the worked-out part -->"
-	fileMode  = 0o644
-	timeLimit = 8 * time.Minute
+	pageBegin   = "<!-- worked out by cassiapass-capacity; do not edit -->"
+	pageEnd     = "<!-- end of the worked-out part -->"
+	fileMode    = 0o644
+	maxDuration = 8 * time.Minute
 )
 
 // mainOptions are the settings of cassiapass-capacity.
@@ -61,7 +61,7 @@
 	if err != nil {
 		return 1, err
 	}
-	if err := Rewrite(o.Page, r); err != nil {
+	if err := RewritePage(o.Page, r); err != nil {
 		return 1, err
 	}
 	if o.JSON {
@@ -81,9 +81,9 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	ctx, cancel := context.WithTimeout(context.Background(), timeLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), maxDuration)
 	defer cancel()
-	r := &Results{Machine: fmt.Sprintf("%d cores, %s/%s, %s", runtime.NumCPU(), runtime.GOOS, runtime.GOARCH, runtime.Version()), Single: map[string]float64{}}
+	r := &Results{Host: fmt.Sprintf("%d cores, %s/%s, %s", runtime.NumCPU(), runtime.GOOS, runtime.GOARCH, runtime.Version()), Single: map[string]float64{}}
 	t := target{addr: o.Control, url: o.URL, pid: o.PID, key: []byte(strings.TrimSpace(string(key)))}
 	steps := []func() error{
 		func() error { return r.measureControl(ctx, t, []int{16, 128, 512, 1500}) },
@@ -107,7 +107,7 @@
 	return os.WriteFile(o.Results, append(b, '\n'), fileMode)
 }
 
-// measureOwnControl measures commits at a control host in this process.
+// measureOwnControl measures commits at a control host that runs in this process.
 func (r *Results) measureOwnControl(ctx context.Context, dir string) error {
 	c, err := control.New(control.Config{
 		Host: "capacity", Group: ident.DefaultGroup, Listen: "127.0.0.1:0", DataDir: dir + "/control", Bootstrap: true,
@@ -125,7 +125,7 @@
 	return r.measureCommits(ctx, propose, dir)
 }
 
-// ReadResults reads measurements.
+// ReadResults reads the measurements from file.
 func ReadResults(file string) (*Results, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -135,8 +135,8 @@
 	return r, json.Unmarshal(b, r)
 }
 
-// Rewrite replaces the worked-out part of the page.
-func Rewrite(file string, r *Results) error {
+// RewritePage replaces the generated part of the page in file.
+func RewritePage(file string, r *Results) error {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return err
@@ -148,16 +148,16 @@
 	return os.WriteFile(file, []byte(text), fileMode)
 }
 
-var errNoMarks = errors.New("the page lacks the marks around its worked-out part")
+var errNoMarkers = errors.New("the page has no markers around its generated part")
 
 func replacePart(text, part string) (string, error) {
 	before, rest, ok := strings.Cut(text, pageBegin)
 	if !ok {
-		return "", errNoMarks
+		return "", errNoMarkers
 	}
 	_, after, ok := strings.Cut(rest, pageEnd)
 	if !ok {
-		return "", errNoMarks
+		return "", errNoMarkers
 	}
 	return before + pageBegin + "\n\n" + part + pageEnd + after, nil
 }
--- a/internal/app/capacity/page_test.go
+++ b/internal/app/capacity/page_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// The page's numbers are worked out from the measurements, not typed.
+// The numbers in the page are computed from the measurements.
 func TestPageAgreesWithTheMeasurements(t *testing.T) {
 	is := is.New(t)
 	r, err := ReadResults("../../../docs/capacity.json")
@@ -19,7 +19,7 @@
 	is.Equal(want, string(page)) // run cassiapass-capacity to rewrite it
 }
 
-func TestFitFindsTheLine(t *testing.T) {
+func TestFitReturnsBaseAndSlope(t *testing.T) {
 	is := is.New(t)
 	r := &Results{}
 	s := r.add("x", "y", "z", []Point{{1, 5}, {2, 7}, {4, 11}})
--- a/internal/app/capacity/streams.go
+++ b/internal/app/capacity/streams.go
@@ -36,8 +36,8 @@
 // bench is a running system with a warm model.
 type bench struct {
 	sys    *dev.System
-	direct string // engine
-	via    string // entry
+	direct string // address of the engine
+	via    string // address of the entry
 	client *http.Client
 }
 
@@ -59,7 +59,8 @@
 	return b, b.stream(b.via, "summary", 1)
 }
 
-// stream sends one request and reads its answer.
+// stream sends one request and reads its streamed answer. It returns an error
+// unless the answer has the given number of tokens.
 func (b *bench) stream(addr, model string, tokens int) error {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"measure"}]}`, model, tokens)
 	req, err := http.NewRequest(http.MethodPost, "http://"+addr+measuredPath, strings.NewReader(body))
@@ -86,10 +87,10 @@
 	return sc.Err()
 }
 
-// load runs n streams at once and returns the processor time and the growth of
-// the heap while they run.
+// load runs n concurrent streams and returns the processor time that they take, and
+// the growth of the heap in bytes halfway through them.
 func (b *bench) load(addr, model string, n int) (cpu time.Duration, mem float64, err error) {
-	before := heap()
+	before := heapBytes()
 	c0 := processCPU()
 	var wg sync.WaitGroup
 	errs := make([]error, n)
@@ -97,7 +98,7 @@
 		wg.Go(func() { errs[i] = b.stream(addr, model, streamTokens) })
 	}
 	time.Sleep(streamTokens * tokenEvery / 2)
-	mem = heap() - before
+	mem = heapBytes() - before
 	wg.Wait()
 	for _, e := range errs {
 		if e != nil {
@@ -107,8 +108,9 @@
 	return processCPU() - c0, mem, nil
 }
 
-// measureStreams measures what entry and agent together add to streams that the
-// engine serves directly: processor time per token and memory per stream.
+// measureStreams measures the cost that entry and agent together add to streams that
+// the engine serves directly: processor time by tokens a second and memory by
+// streams.
 func (r *Results) measureStreams(ctx context.Context, dir string) error {
 	b, err := newBench(ctx, dir)
 	if err != nil {
