--- a/internal/adapter/disklog/contacts.go
+++ b/internal/adapter/disklog/contacts.go
@@ -12,9 +12,9 @@
 // reached. Its loss does no harm.
 const contactsName = "contacts.json"
 
-// Contacts returns the addresses of other hosts that SaveContacts wrote to a data
+// PeerAddrs returns the addresses of other hosts that SavePeerAddrs wrote to a data
 // folder, none if it never did.
-func Contacts(dir string) ([]string, error) {
+func PeerAddrs(dir string) ([]string, error) {
 	b, err := os.ReadFile(filepath.Join(dir, contactsName))
 	if os.IsNotExist(err) {
 		return nil, nil
@@ -29,8 +29,8 @@
 	return addrs, nil
 }
 
-// SaveContacts writes the addresses of other hosts to a data folder.
-func SaveContacts(dir string, addrs []string) error {
+// SavePeerAddrs writes the addresses of other hosts to a data folder.
+func SavePeerAddrs(dir string, addrs []string) error {
 	b, err := json.Marshal(addrs)
 	if err != nil {
 		return oops.Wrapf(err, "encode contacts")
--- a/internal/adapter/http1/client.go
+++ b/internal/adapter/http1/client.go
@@ -16,13 +16,13 @@
 	"github.com/cassiapass/cassiapass/internal/adapter/sockets"
 )
 
-// ErrUnsent means that no byte of a request was sent, so that the endpoint cannot
+// ErrNotSent means that no byte of a request was sent, so that the endpoint cannot
 // have run it.
-var ErrUnsent = errors.New("the request was not sent")
+var ErrNotSent = errors.New("the request was not sent")
 
-// ErrFull means that the limit of connections to an endpoint is reached; the
+// ErrConnLimit means that the limit of connections to an endpoint is reached; the
 // request was not sent.
-var ErrFull = errors.New("every connection to the endpoint is in use")
+var ErrConnLimit = errors.New("every connection to the endpoint is in use")
 
 // ClientConn is one connection to an endpoint, in use by one request.
 type ClientConn struct {
@@ -36,7 +36,7 @@
 	idleSince   time.Time     // when the connection became idle
 	idleTimeout time.Duration // the endpoint's idle timeout; 0 if it did not announce one
 	closed      sync.Once
-	unbind      func() bool // undoes Bind; false if the connection was aborted already
+	unbind      func() bool // undoes AbortOn; false if the connection was aborted already
 	Reused      bool        // the connection has carried a request before
 }
 
@@ -80,13 +80,13 @@
 		c.Close()
 	}
 	if !p.reserve(addr, maxConns) {
-		return nil, errors.Join(ErrUnsent, ErrFull)
+		return nil, errors.Join(ErrNotSent, ErrConnLimit)
 	}
 	d := sockets.Dialer(p.dialTimeout)
 	nc, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		p.release(addr)
-		return nil, errors.Join(ErrUnsent, err)
+		return nil, errors.Join(ErrNotSent, err)
 	}
 	return &ClientConn{nc: nc, br: bufio.NewReaderSize(nc, clientBuffer), pool: p, addr: addr}, nil
 }
@@ -174,16 +174,16 @@
 	return c.nc.SetReadDeadline(time.Time{}) == nil
 }
 
-// Bind makes the end of ctx abort every operation on the connection, until the
+// AbortOn makes the end of ctx abort every operation on the connection, until the
 // connection is closed or returned to the pool. The binding ends before the
 // connection is in the pool: otherwise a caller that hangs up just after its answer
 // would abort the next request on the connection and leave it in doubt, which
 // happened to 1 to 3 of 3,200 streams with callers that close at once.
-func (c *ClientConn) Bind(ctx context.Context) {
+func (c *ClientConn) AbortOn(ctx context.Context) {
 	c.unbind = context.AfterFunc(ctx, func() { _ = c.nc.Close() })
 }
 
-// unbindContext undoes Bind and reports whether the connection was not aborted.
+// unbindContext undoes AbortOn and reports whether the connection was not aborted.
 func (c *ClientConn) unbindContext() bool { return c.unbind == nil || c.unbind() }
 
 // Close closes the connection; an endpoint then drops the request it carries.
@@ -321,9 +321,9 @@
 	}
 }
 
-// Done releases the connection after the body was read to its end: to the pool if it
+// Release releases the connection after the body was read to its end: to the pool if it
 // can carry another request, else it is closed.
-func (r *Response) Done() {
+func (r *Response) Release() {
 	if !r.reusable {
 		r.conn.Close()
 		return
@@ -331,6 +331,6 @@
 	r.conn.Keep()
 }
 
-// Drop closes the connection without reading the rest of the body; the endpoint
+// Abort closes the connection without reading the rest of the body; the endpoint
 // then stops processing the request.
-func (r *Response) Drop() { r.conn.Close() }
+func (r *Response) Abort() { r.conn.Close() }
--- a/internal/adapter/http1/http1_test.go
+++ b/internal/adapter/http1/http1_test.go
@@ -122,7 +122,7 @@
 		c.Send("GET", "/", "x", nil, nil)
 		r, err := c.Receive("GET")
 		is.NoErr(err)
-		r.Done()
+		r.Release()
 		return c
 	}
 	exchange()
@@ -147,7 +147,7 @@
 	a, err := p.Get(context.Background(), addr, 1)
 	is.NoErr(err)
 	_, err = p.Get(context.Background(), addr, 1)
-	is.True(errors.Is(err, ErrFull) && errors.Is(err, ErrUnsent))
+	is.True(errors.Is(err, ErrConnLimit) && errors.Is(err, ErrNotSent))
 	a.Close()
 	b, err := p.Get(context.Background(), addr, 1)
 	is.NoErr(err)
@@ -183,7 +183,7 @@
 		c.Send("GET", "/", "x", nil, nil)
 		r, err := c.Receive("GET")
 		is.NoErr(err)
-		r.Done()
+		r.Release()
 		p.Sweep(func(string) bool { return false })
 	}
 	is.Equal(len(p.connCount), 0) // every connection was released exactly once
--- a/internal/adapter/http1/server.go
+++ b/internal/adapter/http1/server.go
@@ -156,9 +156,9 @@
 	return c.write(b)
 }
 
-// Begin writes the head of a response whose length is not known. Its body
+// WriteHead writes the head of a response whose length is not known. Its body
 // follows in chunks, or up to the end of the connection for HTTP/1.0.
-func (c *Conn) Begin(status int, h http.Header, minor int) error {
+func (c *Conn) WriteHead(status int, h http.Header, minor int) error {
 	c.chunked = minor >= 1
 	if !c.chunked {
 		c.close = true
@@ -170,8 +170,8 @@
 	return c.write(append(b, "\r\n"...))
 }
 
-// Part writes a part of the body after Begin.
-func (c *Conn) Part(p []byte) error {
+// WriteBody writes a part of the body after WriteHead.
+func (c *Conn) WriteBody(p []byte) error {
 	if len(p) == 0 {
 		return nil
 	}
@@ -185,9 +185,9 @@
 	return c.write(append(b, "\r\n"...))
 }
 
-// End ends the body after Begin. It must not be called for an incomplete body: close
+// EndBody ends the body after WriteHead. It must not be called for an incomplete body: close
 // the connection instead.
-func (c *Conn) End() error {
+func (c *Conn) EndBody() error {
 	if !c.chunked {
 		return nil
 	}
--- a/internal/adapter/logs/bounded.go
+++ b/internal/adapter/logs/bounded.go
@@ -87,8 +87,8 @@
 	return b.droppedOrdinary.Load(), b.droppedOthers.Load()
 }
 
-// Count adds the numbers of dropped lines to a set of metrics.
-func (b *Bounded) Count(s *vm.Set) {
+// RegisterMetrics adds the numbers of dropped lines to a set of metrics.
+func (b *Bounded) RegisterMetrics(s *vm.Set) {
 	s.NewGauge(`cassiapass_log_lines_dropped_total{kind="ordinary"}`, func() float64 { return float64(b.droppedOrdinary.Load()) })
 	s.NewGauge(`cassiapass_log_lines_dropped_total{kind="others"}`, func() float64 { return float64(b.droppedOthers.Load()) })
 }
--- a/internal/adapter/opshttp/opshttp.go
+++ b/internal/adapter/opshttp/opshttp.go
@@ -46,9 +46,9 @@
 	})
 }
 
-// CountBytes adds the bytes exchanged with the system's own processes to a set of
+// RegisterByteCounters adds the bytes exchanged with the system's own processes to a set of
 // metrics.
-func CountBytes(s *vm.Set, c *rpc.Counter) {
+func RegisterByteCounters(s *vm.Set, c *rpc.ByteCounter) {
 	s.NewGauge("cassiapass_rpc_received_bytes_total", func() float64 { return float64(c.In.Load()) })
 	s.NewGauge("cassiapass_rpc_sent_bytes_total", func() float64 { return float64(c.Out.Load()) })
 }
--- a/internal/adapter/rpc/frame.go
+++ b/internal/adapter/rpc/frame.go
@@ -47,7 +47,7 @@
 type stream struct {
 	conn           net.Conn
 	r              *bufio.Reader
-	count          *Counter
+	count          *ByteCounter
 	openedAt       time.Time    // when the stream was created, with a monotonic clock reading
 	lastReceived   atomic.Int64 // nanoseconds from openedAt to the last frame received
 	lastChunk      atomic.Int64 // nanoseconds from openedAt to the last chunk written of a frame with several
@@ -57,8 +57,8 @@
 	w  *bufio.Writer
 }
 
-// Counter counts the bytes received and sent on all connections that share it.
-type Counter struct {
+// ByteCounter counts the bytes received and sent on all connections that share it.
+type ByteCounter struct {
 	In, Out atomic.Int64
 }
 
@@ -70,7 +70,7 @@
 	}
 }
 
-func newStream(c net.Conn, count *Counter) *stream {
+func newStream(c net.Conn, count *ByteCounter) *stream {
 	return &stream{conn: c, r: bufio.NewReaderSize(c, bufferSize), w: bufio.NewWriterSize(c, bufferSize), count: count, openedAt: time.Now()}
 }
 
--- a/internal/adapter/rpc/rpc.go
+++ b/internal/adapter/rpc/rpc.go
@@ -101,25 +101,25 @@
 // Closed returns a channel that is closed when the connection is.
 func (c *Conn) Closed() <-chan struct{} { return c.rpc.DisconnectNotify() }
 
-// Heard returns when the last message arrived, measured on the monotonic clock.
+// LastReceived returns when the last message arrived, measured on the monotonic clock.
 // By the wall clock, a clock step would make a connection look silent, or would
 // keep a silent one from being probed until the clock has caught up.
-func (c *Conn) Heard() time.Time {
+func (c *Conn) LastReceived() time.Time {
 	return c.stream.openedAt.Add(time.Duration(c.stream.lastReceived.Load()))
 }
 
-// Sending reports whether a chunk of a message too large for one write was written
+// SentChunkSince reports whether a chunk of a message too large for one write was written
 // after since. Messages sent after that one, probes included, wait for it.
-func (c *Conn) Sending(since time.Time) bool {
+func (c *Conn) SentChunkSince(since time.Time) bool {
 	return c.stream.openedAt.Add(time.Duration(c.stream.lastChunk.Load())).After(since)
 }
 
 // Remote returns the peer's address.
 func (c *Conn) Remote() string { return c.stream.conn.RemoteAddr().String() }
 
-// Refused reports whether err is an error response of the peer rather than a failed
+// IsRemoteError reports whether err is an error response of the peer rather than a failed
 // connection.
-func Refused(err error) bool {
+func IsRemoteError(err error) bool {
 	var e *jsonrpc2.Error
 	return errors.As(err, &e)
 }
@@ -142,7 +142,7 @@
 const dialTimeout = 2 * time.Second
 
 // Dial connects to addr, an IP address and port.
-func Dial(ctx context.Context, addr string, sec Security, count *Counter, h Handler) (*Conn, error) {
+func Dial(ctx context.Context, addr string, sec Security, count *ByteCounter, h Handler) (*Conn, error) {
 	dialer := sockets.Dialer(dialTimeout)
 	nc, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -170,7 +170,7 @@
 type Server struct {
 	listener      net.Listener
 	sec           Security
-	count         *Counter
+	count         *ByteCounter
 	handle        Handler
 	onClose       func(*Conn)
 	onAuthFailure func(remote string, err error)
@@ -181,7 +181,7 @@
 
 // Listen starts a Server on addr. onClose is called after a connection has closed,
 // onAuthFailure for one that failed to authenticate; both may be nil.
-func Listen(addr string, sec Security, count *Counter, h Handler, onClose func(*Conn), onAuthFailure func(string, error)) (*Server, error) {
+func Listen(addr string, sec Security, count *ByteCounter, h Handler, onClose func(*Conn), onAuthFailure func(string, error)) (*Server, error) {
 	lc := sockets.ListenConfig()
 	l, err := lc.Listen(context.Background(), "tcp", addr)
 	if err != nil {
--- a/internal/adapter/rpc/rpc_test.go
+++ b/internal/adapter/rpc/rpc_test.go
@@ -30,12 +30,12 @@
 	is := is.New(t)
 	notes := make(chan string, 1000)
 	sec := Security{Key: []byte("a-key-for-this-test")}
-	srv, err := Listen("127.0.0.1:0", sec, &Counter{}, echo(notes), nil, nil)
+	srv, err := Listen("127.0.0.1:0", sec, &ByteCounter{}, echo(notes), nil, nil)
 	is.NoErr(err)
 	defer srv.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
-	c, err := Dial(ctx, srv.Addr(), sec, &Counter{}, echo(notes))
+	c, err := Dial(ctx, srv.Addr(), sec, &ByteCounter{}, echo(notes))
 	is.NoErr(err)
 	defer c.Close()
 	for i := range 500 {
@@ -55,7 +55,7 @@
 // contents are untrusted.
 func TestMalformedFramesOnlyCloseTheirConnection(t *testing.T) {
 	is := is.New(t)
-	srv, err := Listen("127.0.0.1:0", Security{}, &Counter{}, echo(make(chan string, 9)), nil, nil)
+	srv, err := Listen("127.0.0.1:0", Security{}, &ByteCounter{}, echo(make(chan string, 9)), nil, nil)
 	is.NoErr(err)
 	defer srv.Close()
 	for _, frame := range []struct {
@@ -73,7 +73,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
-	c, err := Dial(ctx, srv.Addr(), Security{}, &Counter{}, nil)
+	c, err := Dial(ctx, srv.Addr(), Security{}, &ByteCounter{}, nil)
 	is.NoErr(err)
 	defer c.Close()
 	var got int
@@ -121,14 +121,14 @@
 	is := is.New(t)
 	stop := make(chan struct{})
 	addr, read := slowReader(t, stop, 256<<10, 20*time.Millisecond)
-	c, err := Dial(context.Background(), addr, Security{}, &Counter{}, echo(nil))
+	c, err := Dial(context.Background(), addr, Security{}, &ByteCounter{}, echo(nil))
 	is.NoErr(err)
 	defer c.Close()
 	const size = 12 << 20 // some 4 s at 64 kB in 20 ms
 	begun := time.Now()
 	is.NoErr(c.Notify("note", strings.Repeat("x", size)))
 	is.True(time.Since(begun) > writeTimeout) // otherwise the test proves nothing
-	is.True(c.Sending(begun))
+	is.True(c.SentChunkSince(begun))
 	close(stop)
 	is.True(<-read > size/2)
 }
@@ -139,11 +139,11 @@
 	stop := make(chan struct{})
 	defer close(stop)
 	addr, _ := slowReader(t, stop, 1, time.Hour)
-	c, err := Dial(context.Background(), addr, Security{}, &Counter{}, echo(nil))
+	c, err := Dial(context.Background(), addr, Security{}, &ByteCounter{}, echo(nil))
 	is.NoErr(err)
 	defer c.Close()
 	begun := time.Now()
 	is.True(c.Notify("note", strings.Repeat("x", 4<<20)) != nil)
 	is.True(time.Since(begun) < 2*writeTimeout)
-	is.True(!c.Sending(time.Now().Add(-writeTimeout / 2)))
+	is.True(!c.SentChunkSince(time.Now().Add(-writeTimeout / 2)))
 }
--- a/internal/app/agent/agent.go
+++ b/internal/app/agent/agent.go
@@ -39,19 +39,19 @@
 	Security  rpc.Security
 	Log       zerolog.Logger
 
-	Engine         port.Engine // nil for a plain service
-	Plain          port.Backend
-	Serves         string // name of the plain service
-	Memory         int64
-	Slots          int
-	MaxQueue       int
-	HonoursFence   bool
-	LongestOrder   time.Duration
-	Window         int           // bytes of an answer buffered until the entry acknowledges them
-	EngineSilent   time.Duration // a stream without a byte for this long counts as broken
-	OrphanAfter    time.Duration // a run without a connection to its entry is cancelled after this
-	EndedRetention time.Duration // an ended run is kept this long, so that its answer can be resumed
-	Incarnation    ident.Incarnation
+	Engine             port.Engine // nil for a plain service
+	Plain              port.Backend
+	Serves             string // name of the plain service
+	Memory             int64
+	Slots              int
+	MaxQueue           int
+	HonoursFence       bool
+	LongestOrder       time.Duration
+	Window             int           // bytes of an answer buffered until the entry acknowledges them
+	EngineSilenceLimit time.Duration // a stream without a byte for this long counts as broken
+	OrphanAfter        time.Duration // a run without a connection to its entry is cancelled after this
+	EndedRetention     time.Duration // an ended run is kept this long, so that its answer can be resumed
+	Incarnation        ident.Incarnation
 	// Unsafe turns one safeguard off; tests use it to show that the checks
 	// detect its absence. Never set outside tests.
 	Unsafe Unsafe
@@ -71,7 +71,7 @@
 func DefaultConfig() Config {
 	return Config{
 		Slots: 16, MaxQueue: 256, LongestOrder: 2 * time.Minute, Window: 64 << 10,
-		EngineSilent: 10 * time.Second, OrphanAfter: 10 * time.Second, EndedRetention: 30 * time.Second,
+		EngineSilenceLimit: 10 * time.Second, OrphanAfter: 10 * time.Second, EndedRetention: 30 * time.Second,
 	}
 }
 
@@ -81,7 +81,7 @@
 	backend  port.Backend
 	follower *follow.Follower
 	srv      *rpc.Server
-	count    *rpc.Counter
+	count    *rpc.ByteCounter
 	met      *metrics
 	ctx      context.Context
 	cancel   context.CancelFunc
@@ -113,9 +113,9 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &Agent{
-		cfg: cfg, backend: cfg.Plain, count: &rpc.Counter{}, ctx: ctx, cancel: cancel,
-		ledger:        ledger.New(ledger.Config{Memory: cfg.Memory, HonoursFence: cfg.HonoursFence, LongestOrder: cfg.LongestOrder, AskEvery: time.Second}, time.Now()),
-		queue:         admission.New(admission.Config{Slots: cfg.Slots, MaxQueue: cfg.MaxQueue, Expected: time.Second}),
+		cfg: cfg, backend: cfg.Plain, count: &rpc.ByteCounter{}, ctx: ctx, cancel: cancel,
+		ledger:        ledger.New(ledger.Config{Memory: cfg.Memory, HonoursFence: cfg.HonoursFence, LongestOrder: cfg.LongestOrder, ListInterval: time.Second}, time.Now()),
+		queue:         admission.New(admission.Config{Slots: cfg.Slots, MaxQueue: cfg.MaxQueue, ServiceTime: time.Second}),
 		runs:          map[ident.Attempt]*run{},
 		blocked:       map[ident.Attempt]time.Time{},
 		knownReplicas: map[ident.Index]bool{},
@@ -182,7 +182,7 @@
 // succeeds. The log index of the registration is the fencing floor: every order of
 // an earlier incarnation carries a lower number.
 func (a *Agent) register() {
-	cmd := state.Command{By: string(a.cfg.Host), Endpoint: &state.EndpointSet{Endpoint: a.endpoint(false), Reason: "process started"}}
+	cmd := state.Command{By: string(a.cfg.Host), Endpoint: &state.EndpointUpdate{Endpoint: a.endpoint(false), Reason: "process started"}}
 	for a.ctx.Err() == nil {
 		res, err := a.commit(cmd)
 		switch {
@@ -228,7 +228,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ledger.Registered(floor)
-	a.ledger.FloorSet(time.Now())
+	a.ledger.FloorConfirmed(time.Now())
 	a.registered = true
 }
 
@@ -244,7 +244,7 @@
 				continue
 			}
 			a.knownReplicas[id] = true
-			a.ledger.Decide(now, ledger.Grant{ID: id, Target: r.Target, Bytes: r.Bytes, Drain: r.Phase == state.Draining, Ready: r.Phase == state.Ready})
+			a.ledger.ApplyGrant(now, ledger.Grant{ID: id, Target: r.Target, Bytes: r.Bytes, Drain: r.Phase == state.Draining, Ready: r.Phase == state.Ready})
 		}
 		for id := range a.knownReplicas {
 			if _, ok := v.Replicas()[id]; !ok {
@@ -302,12 +302,12 @@
 	var orders []ledger.Order
 	if a.registered && a.cfg.Engine != nil {
 		orders = a.ledger.Orders(now, func(id ident.Index) int { r, w := a.queue.OfReplica(id); return r + w })
-		a.queueEvents(a.ledger.Withdraw(now))
+		a.queueEvents(a.ledger.RemoveWaiting(now))
 	}
 	cacheDue := a.cfg.Engine != nil && now.Sub(a.cachedListedAt) > cachedInterval
 	if cacheDue {
 		a.cachedListedAt = now
-		a.ledger.Suspect()
+		a.ledger.RequestList()
 	}
 	a.mu.Unlock()
 	for _, o := range orders {
@@ -397,7 +397,7 @@
 	a.leaving = true
 	a.mu.Unlock()
 	a.cfg.Log.Info().Msg("leaving")
-	cmd := state.Command{By: string(a.cfg.Host), Endpoint: &state.EndpointSet{Endpoint: a.endpoint(true), Reason: "process is stopping"}}
+	cmd := state.Command{By: string(a.cfg.Host), Endpoint: &state.EndpointUpdate{Endpoint: a.endpoint(true), Reason: "process is stopping"}}
 	if _, err := a.commit(cmd); err != nil {
 		a.cfg.Log.Warn().Err(err).Msg("leaving_not_announced")
 	}
--- a/internal/app/agent/http.go
+++ b/internal/app/agent/http.go
@@ -47,7 +47,7 @@
 	s.NewGauge("cassiapass_agent_memory_limit_bytes", func() float64 { return float64(a.cfg.Memory) })
 	s.NewGauge("cassiapass_agent_running", locked(func() float64 { return float64(a.queue.Running()) }))
 	s.NewGauge("cassiapass_agent_waiting", locked(func() float64 { return float64(a.queue.Waiting()) }))
-	opshttp.CountBytes(s, a.count)
+	opshttp.RegisterByteCounters(s, a.count)
 	return m
 }
 
--- a/internal/app/agent/orders.go
+++ b/internal/app/agent/orders.go
@@ -32,7 +32,7 @@
 		a.pendingReport.Loaded = append(a.pendingReport.Loaded, placement.LoadTime{Source: source, Bytes: o.Bytes, Took: now.Sub(begin)})
 		a.cachedListedAt = time.Time{}
 	}
-	a.queueEvents(a.ledger.Finished(now, o, out))
+	a.queueEvents(a.ledger.OrderEnded(now, o, out))
 }
 
 // requestList makes the ledger list the engine again: the engine may have lost
@@ -40,7 +40,7 @@
 func (a *Agent) requestList() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ledger.Suspect()
+	a.ledger.RequestList()
 }
 
 func outcomeOf(err error) ledger.Outcome {
@@ -134,9 +134,9 @@
 }
 
 func (a *Agent) commitEvent(e ledger.Event) {
-	set := &state.ReplicaSet{ID: e.ID, Phase: state.Ready, Reason: e.Reason}
+	set := &state.ReplicaUpdate{ID: e.ID, Phase: state.Ready, Reason: e.Reason}
 	if !e.Ready {
-		set.Phase, set.Gone = "", true
+		set.Phase, set.Removed = "", true
 	}
 	for a.ctx.Err() == nil {
 		res, err := a.commit(state.Command{By: string(a.cfg.Host), Replica: set})
--- a/internal/app/agent/runs.go
+++ b/internal/app/agent/runs.go
@@ -171,7 +171,7 @@
 	// The watchdog closes it so that the answer can be resumed over a new one.
 	var watchdog *time.Timer
 	if events {
-		watchdog = time.AfterFunc(a.cfg.EngineSilent, func() { _ = res.Body.Close() })
+		watchdog = time.AfterFunc(a.cfg.EngineSilenceLimit, func() { _ = res.Body.Close() })
 		defer watchdog.Stop()
 	}
 	buf := make([]byte, maxPartBytes)
@@ -181,7 +181,7 @@
 			return err
 		}
 		if watchdog != nil {
-			watchdog.Reset(a.cfg.EngineSilent)
+			watchdog.Reset(a.cfg.EngineSilenceLimit)
 		}
 		n, err = res.Body.Read(buf[:n])
 		a.write(r, buf[:n])
@@ -221,7 +221,7 @@
 func (a *Agent) waitForSpace(r *run, limit int) (int, error) {
 	for {
 		a.mu.Lock()
-		n := min(r.out.Room(), limit)
+		n := min(r.out.Free(), limit)
 		a.mu.Unlock()
 		if n > 0 {
 			return n, nil
--- a/internal/app/capacity/control.go
+++ b/internal/app/capacity/control.go
@@ -57,13 +57,13 @@
 // subscribers is a set of followers that subscribe to one control process.
 type subscribers struct {
 	followers []*follow.Follower
-	counter   *rpc.Counter
+	counter   *rpc.ByteCounter
 	mu        sync.Mutex
 	inForceAt map[ident.Index][]time.Time // by configuration: when it was in force at each subscriber
 }
 
 func (t target) subscribe(n int, role wire.Role) *subscribers {
-	c := &subscribers{counter: &rpc.Counter{}, inForceAt: map[ident.Index][]time.Time{}}
+	c := &subscribers{counter: &rpc.ByteCounter{}, inForceAt: map[ident.Index][]time.Time{}}
 	for i := range n {
 		var f *follow.Follower
 		last := ident.Index(0)
@@ -264,7 +264,7 @@
 // catchUp subscribes from index from and waits until all changes up to index to
 // have arrived. It returns the bytes received and the time in milliseconds.
 func (t target) catchUp(ctx context.Context, from, to ident.Index) (bytes, ms float64, err error) {
-	count := &rpc.Counter{}
+	count := &rpc.ByteCounter{}
 	done := make(chan struct{})
 	var once sync.Once
 	begin := time.Now()
--- a/internal/app/capacity/inside.go
+++ b/internal/app/capacity/inside.go
@@ -79,12 +79,12 @@
 	apply(state.Command{Submit: &state.Submit{Request: "r", Raw: sampleRecord("a", adapters, 0)}})
 	for k := range endpoints {
 		e := state.Endpoint{Host: ident.HostID(fmt.Sprintf("host-%04d", k)), Incarnation: 1, Zone: ident.Zone(fmt.Sprint("zone-", k%11)), Place: "p", Memory: 640e9, Slots: 16, Up: true}
-		apply(state.Command{Endpoint: &state.EndpointSet{Endpoint: e}})
+		apply(state.Command{Endpoint: &state.EndpointUpdate{Endpoint: e}})
 	}
 	base := ident.Target{Model: "model-a", Version: "1"}
 	for k := range 2 {
 		res := apply(state.Command{Grant: &state.Grant{Target: base, Host: ident.HostID(fmt.Sprintf("host-%04d", k))}})
-		apply(state.Command{Replica: &state.ReplicaSet{ID: res.Revision, Phase: state.Ready}})
+		apply(state.Command{Replica: &state.ReplicaUpdate{ID: res.Revision, Phase: state.Ready}})
 	}
 	var ts []ident.Target
 	for k := range adapters {
--- a/internal/app/capacity/streams.go
+++ b/internal/app/capacity/streams.go
@@ -54,7 +54,7 @@
 	if err := s.SubmitSamples(ctx); err != nil {
 		return nil, err
 	}
-	b := &bench{sys: s, direct: s.Agents[0].Back.Addr(), via: s.Entries[0].API.Addr()}
+	b := &bench{sys: s, direct: s.Agents[0].ServiceHTTP.Addr(), via: s.Entries[0].API.Addr()}
 	b.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096, MaxConnsPerHost: 0}}
 	return b, b.stream(b.via, "summary", 1)
 }
--- a/internal/app/control/contacts.go
+++ b/internal/app/control/contacts.go
@@ -66,7 +66,7 @@
 	if cfg.Seeds.Volatile || !cfg.Seeds.used() {
 		return nil
 	}
-	addrs, err := disklog.Contacts(cfg.DataDir)
+	addrs, err := disklog.PeerAddrs(cfg.DataDir)
 	if err != nil {
 		// The seeds remain, and the hosts that greet this one.
 		cfg.Log.Warn().Err(err).Msg("contacts_not_read")
@@ -98,9 +98,9 @@
 		case !member || st.Leader == consensus.None && now.Sub(leaderSeen) >= maxLeaderless:
 			return // lost
 		case st.Leader != c.id || c.loop.roster == nil:
-			s.Standing = contact.Follows
+			s.Standing = contact.Following
 		default:
-			s.Standing = contact.Leads
+			s.Standing = contact.Leading
 			s.silent = c.loop.roster.Silent(now, silenceLimit, st)
 		}
 	})
@@ -121,13 +121,13 @@
 		}
 		now := time.Now()
 		s := c.currentStanding(now, leaderSeen)
-		if c.leader() != consensus.None && s.Standing != contact.Lost {
+		if c.leader() != consensus.None && s.Standing != contact.Disconnected {
 			leaderSeen = now
 		}
 		var due []string
 		c.contacts.withBook(func(b *contact.Book) {
 			b.SetMembers(s.membership)
-			due = b.Greet(now, s.Standing, s.silent)
+			due = b.NextGreetings(now, s.Standing, s.silent)
 		})
 		for _, addr := range due {
 			go c.greet(ctx, addr, s.Standing)
@@ -138,7 +138,7 @@
 // greeting returns what this host reports about itself and the hosts that it knows.
 func (c *Control) greeting(now time.Time, s contact.Standing) wire.Greeting {
 	g := wire.Greeting{Group: c.cfg.Group, ID: c.id, Addr: c.Addr(), Leader: c.currentLeaderAddr()}
-	c.contacts.withBook(func(b *contact.Book) { g.Known = b.Tell(now, s) })
+	c.contacts.withBook(func(b *contact.Book) { g.Known = b.ToShare(now, s) })
 	return g
 }
 
@@ -159,7 +159,7 @@
 		return
 	}
 	c.applyGreeting(res)
-	if s != contact.Lost || res.Leader == "" {
+	if s != contact.Disconnected || res.Leader == "" {
 		return
 	}
 	var joined wire.JoinResult
@@ -180,8 +180,8 @@
 	now := time.Now()
 	c.contacts.mu.Lock()
 	defer c.contacts.mu.Unlock()
-	c.contacts.book.Met(now, contact.Contact{ID: g.ID, Addr: g.Addr})
-	c.contacts.book.Told(now, g.Known)
+	c.contacts.book.RecordSeen(now, contact.Contact{ID: g.ID, Addr: g.Addr})
+	c.contacts.book.RecordReported(now, g.Known)
 	if g.Leader != "" {
 		c.contacts.hintedLeader, c.contacts.hintedAt = g.Leader, now
 	}
@@ -194,9 +194,9 @@
 		return nil, err
 	}
 	c.applyGreeting(g)
-	s := contact.Follows
+	s := contact.Following
 	if c.leader() == consensus.None {
-		s = contact.Lost
+		s = contact.Disconnected
 	}
 	return c.greeting(time.Now(), s), nil
 }
@@ -213,11 +213,11 @@
 		case <-t.C:
 		}
 		var addrs []string
-		c.contacts.withBook(func(b *contact.Book) { addrs = b.Kept() })
+		c.contacts.withBook(func(b *contact.Book) { addrs = b.Addrs() })
 		if slices.Equal(addrs, saved) {
 			continue
 		}
-		if err := disklog.SaveContacts(c.cfg.DataDir, addrs); err != nil {
+		if err := disklog.SavePeerAddrs(c.cfg.DataDir, addrs); err != nil {
 			c.cfg.Log.Warn().Err(err).Msg("contacts_not_saved")
 			continue
 		}
--- a/internal/app/control/contacts_test.go
+++ b/internal/app/control/contacts_test.go
@@ -121,7 +121,7 @@
 		g.restartAll()
 		g.eventually("led", func() bool {
 			for _, c := range g.hosts {
-				if c.Lead().Leading {
+				if c.LeaderStatus().Leading {
 					return true
 				}
 			}
--- a/internal/app/control/control.go
+++ b/internal/app/control/control.go
@@ -35,13 +35,13 @@
 	WrapDisk func(port.Disk) port.Disk
 	// Bootstrap starts a new group with this host as its only voter when the
 	// data folder is empty. Without it, a host with an empty folder waits to be added.
-	Bootstrap bool
-	Security  rpc.Security
-	Placement placement.Config
-	Leases    member.Config
-	HostList  port.HostList // nil if the platform has none
-	HostEvery time.Duration
-	Log       zerolog.Logger
+	Bootstrap        bool
+	Security         rpc.Security
+	Placement        placement.Config
+	Leases           member.Config
+	HostList         port.HostList // nil if the platform has none
+	HostListInterval time.Duration
+	Log              zerolog.Logger
 	// Metrics is the set to which this host adds its metrics; nil for a new one.
 	Metrics *vm.Set
 	// Seeds lets the group form and maintain its membership without an operator.
@@ -67,7 +67,7 @@
 	hub    *hub
 	peers  *peers
 	srv    *rpc.Server
-	count  *rpc.Counter
+	count  *rpc.ByteCounter
 	met    *metrics
 	disk   port.Disk
 	cancel context.CancelFunc
@@ -100,7 +100,7 @@
 		_ = disk.Close()
 		return nil, oops.Errorf("data folder %s belongs to group %q, not %q", cfg.DataDir, res.Identity.Group, cfg.Group)
 	}
-	c := &Control{cfg: cfg, id: res.Identity.Node, count: &rpc.Counter{}, disk: disk, started: make(chan struct{})}
+	c := &Control{cfg: cfg, id: res.Identity.Node, count: &rpc.ByteCounter{}, disk: disk, started: make(chan struct{})}
 	if err := c.start(res, savedContacts); err != nil {
 		_ = disk.Close()
 		return nil, err
@@ -267,7 +267,7 @@
 }
 
 func (c *Control) pollHosts(ctx context.Context) {
-	t := time.NewTicker(c.cfg.HostEvery)
+	t := time.NewTicker(c.cfg.HostListInterval)
 	defer t.Stop()
 	for {
 		hosts, err := c.cfg.HostList.List(ctx)
@@ -325,7 +325,7 @@
 	if errors.Is(err, rpc.ErrNotLeader) {
 		return res, consensus.ErrNotLeader
 	}
-	if err != nil && !rpc.Refused(err) && ctx.Err() == nil {
+	if err != nil && !rpc.IsRemoteError(err) && ctx.Err() == nil {
 		// The connection broke: the command may have been proposed.
 		return res, oops.Wrap(errors.Join(ErrLost, err))
 	}
@@ -410,17 +410,17 @@
 	return v, err
 }
 
-// RecordHere returns a record as this host has applied it, without asking a
+// LocalRecord returns a record as this host has applied it, without asking a
 // quorum.
-func (c *Control) RecordHere(name string) (state.Record, bool) {
+func (c *Control) LocalRecord(name string) (state.Record, bool) {
 	var r state.Record
 	var ok bool
 	_ = c.loop.do(func() { r, ok = c.loop.st.Record(name) })
 	return r, ok
 }
 
-// Knows reports whether an endpoint is registered in the state that this host has applied.
-func (c *Control) Knows(h ident.HostID) bool {
+// HasEndpoint reports whether an endpoint is registered in the state that this host has applied.
+func (c *Control) HasEndpoint(h ident.HostID) bool {
 	known := false
 	_ = c.loop.do(func() { _, known = c.loop.st.Endpoint(h) })
 	return known
--- a/internal/app/control/deployment.go
+++ b/internal/app/control/deployment.go
@@ -20,7 +20,7 @@
 	}
 	var res state.Result
 	known := false
-	if err := c.loop.do(func() { res, known = c.loop.st.Deployed(d) }); err != nil {
+	if err := c.loop.do(func() { res, known = c.loop.st.CheckDeploy(d) }); err != nil {
 		return res, err
 	}
 	if known {
@@ -121,39 +121,39 @@
 	return r.deployment, r.err
 }
 
-// DeploymentHere returns the deployment as this host has applied it, without
+// LocalDeployment returns the deployment as this host has applied it, without
 // asking a quorum.
-func (c *Control) DeploymentHere() state.Deployment {
+func (c *Control) LocalDeployment() state.Deployment {
 	var d state.Deployment
 	_ = c.loop.do(func() { d = c.loop.st.Deployment() })
 	return d
 }
 
-// Lead describes whether a host leads.
-type Lead struct {
+// LeaderStatus describes whether a host leads.
+type LeaderStatus struct {
 	Leading bool   // this host leads and has applied all that was decided before its term
 	Term    uint64 // rises with every leader and is never used by two
 }
 
-// Lead returns whether this host leads, and its term, without asking a quorum.
-func (c *Control) Lead() Lead {
-	var l Lead
-	_ = c.loop.do(func() { l = Lead{Leading: c.loop.node.LeadsSettled(), Term: c.loop.node.Term()} })
+// LeaderStatus returns whether this host leads, and its term, without asking a quorum.
+func (c *Control) LeaderStatus() LeaderStatus {
+	var l LeaderStatus
+	_ = c.loop.do(func() { l = LeaderStatus{Leading: c.loop.node.LeaderCaughtUp(), Term: c.loop.node.Term()} })
 	return l
 }
 
-// ConfirmLead returns nil if a quorum confirms that this host still leads term.
+// ConfirmLeadership returns nil if a quorum confirms that this host still leads term.
 // A host that was suspended takes itself for the leader until it learns otherwise, and
 // its clock may have stopped meanwhile; one round trip to a quorum detects this before it
 // gives an order.
-func (c *Control) ConfirmLead(ctx context.Context, term uint64) error {
-	if l := c.Lead(); !l.Leading || l.Term != term {
+func (c *Control) ConfirmLeadership(ctx context.Context, term uint64) error {
+	if l := c.LeaderStatus(); !l.Leading || l.Term != term {
 		return consensus.ErrNotLeader
 	}
 	if _, err := c.loop.readIndex(ctx); err != nil {
 		return err
 	}
-	if l := c.Lead(); !l.Leading || l.Term != term {
+	if l := c.LeaderStatus(); !l.Leading || l.Term != term {
 		return consensus.ErrNotLeader
 	}
 	return nil
@@ -167,9 +167,9 @@
 	return r
 }
 
-// NoteHolder records in the log that this host holds the engines. It returns nil when the
+// CommitHolder records in the log that this host holds the engines. It returns nil when the
 // record is committed, and an error on a host that does not lead.
-func (c *Control) NoteHolder(ctx context.Context, r holder.Record) error {
+func (c *Control) CommitHolder(ctx context.Context, r holder.Record) error {
 	_, err := c.proposeHere(ctx, state.Command{By: "control", Holder: &r})
 	return err
 }
--- a/internal/app/control/duties.go
+++ b/internal/app/control/duties.go
@@ -36,7 +36,7 @@
 
 // tick runs the tasks that are due. It runs in the loop.
 func (d *duties) tick(now time.Time, l *loop) {
-	if !l.node.LeadsSettled() {
+	if !l.node.LeaderCaughtUp() {
 		if d.term != 0 && !l.node.IsLeader() {
 			d.term = 0
 			l.log.Info().Uint64("term", l.node.Term()).Msg("leadership_lost")
@@ -68,7 +68,7 @@
 	d.table = member.New(d.leases, now)
 	d.entrySeen = map[ident.HostID]time.Time{}
 	if d.listed {
-		d.table.List(now, platformHosts(d.hosts))
+		d.table.UpdateList(now, platformHosts(d.hosts))
 	}
 	l.log.Info().Uint64("term", d.term).Uint64("index", uint64(l.st.Index())).Msg("leadership_taken")
 }
@@ -99,7 +99,7 @@
 			d.entrySeen[b.Process.Host] = now
 			continue
 		}
-		d.table.Heard(now, b.Process.Host, b.Process.Incarnation)
+		d.table.RenewLease(now, b.Process.Host, b.Process.Incarnation)
 		if b.Report != nil {
 			d.planner.Report(now, l.st, *b.Report)
 		}
@@ -153,7 +153,7 @@
 func (d *duties) setHosts(now time.Time, hosts []port.Host) {
 	d.hosts, d.listed = hosts, true
 	if d.term != 0 {
-		d.table.List(now, platformHosts(hosts))
+		d.table.UpdateList(now, platformHosts(hosts))
 	}
 }
 
--- a/internal/app/control/group.go
+++ b/internal/app/control/group.go
@@ -114,7 +114,7 @@
 		return
 	}
 	l.rosterChecked = now
-	if !l.node.LeadsSettled() {
+	if !l.node.LeaderCaughtUp() {
 		l.roster = nil
 		return
 	}
--- a/internal/app/control/group_test.go
+++ b/internal/app/control/group_test.go
@@ -69,7 +69,7 @@
 	t.Helper()
 	g := &testGroup{
 		t: t, addrs: freeAddrs(t, n), hosts: make([]*Control, n), volatile: map[int]bool{},
-		roster: roster.Config{Voters: 3, ReplaceAfter: time.Second, ForgetAfter: 3 * time.Second},
+		roster: roster.Config{Voters: 3, ReplaceAfter: time.Second, RemoveAfter: 3 * time.Second},
 	}
 	for _, i := range volatile {
 		g.volatile[i] = true
--- a/internal/app/control/handlers.go
+++ b/internal/app/control/handlers.go
@@ -64,7 +64,7 @@
 		now := time.Now()
 		for _, m := range msgs {
 			if c.loop.roster != nil {
-				c.loop.roster.Heard(now, m.From)
+				c.loop.roster.RecordMessage(now, m.From)
 			}
 			c.loop.watch.observeMessage(now, m)
 			c.loop.node.Step(m)
@@ -138,7 +138,7 @@
 	settled := false
 	err = c.loop.do(func() {
 		d := c.loop.duties
-		if d.term == 0 || !c.loop.node.LeadsSettled() {
+		if d.term == 0 || !c.loop.node.LeaderCaughtUp() {
 			return
 		}
 		settled = true
--- a/internal/app/control/http.go
+++ b/internal/app/control/http.go
@@ -34,11 +34,11 @@
 
 // Explanation explains why a target is, or is not, loaded.
 type Explanation struct {
-	Target   string             `json:"target"`
-	Stated   *state.Statement   `json:"stated,omitempty"`
-	Replicas []state.Replica    `json:"replicas"`
-	Estimate *wire.EstimateIn   `json:"estimate,omitempty"`
-	Events   []state.AuditEvent `json:"events"`
+	Target   string              `json:"target"`
+	Stated   *state.Requirements `json:"stated,omitempty"`
+	Replicas []state.Replica     `json:"replicas"`
+	Estimate *wire.EstimateIn    `json:"estimate,omitempty"`
+	Events   []state.AuditEvent  `json:"events"`
 }
 
 // CodeBehind is the code of a membership change that has to wait until the
@@ -192,7 +192,7 @@
 	if status == 0 {
 		status = http.StatusUnprocessableEntity
 	}
-	return x.JSON(status, Failure{Code: string(res.Code), Message: res.Message, Present: res.Present})
+	return x.JSON(status, Failure{Code: string(res.Code), Message: res.Message, Present: res.Current})
 }
 
 // httpAudit lists audit events, filtered by subject, target, host or action.
@@ -230,7 +230,7 @@
 	}
 	ex := Explanation{Target: t.String(), Replicas: []state.Replica{}, Events: []state.AuditEvent{}}
 	err = c.readCurrent(x, func(s *state.State) {
-		if stated, ok := s.Stated(t); ok {
+		if stated, ok := s.RequirementsOf(t); ok {
 			ex.Stated = &stated
 		}
 		ex.Replicas = append(ex.Replicas, s.ReplicasOf(t)...)
--- a/internal/app/control/hub.go
+++ b/internal/app/control/hub.go
@@ -101,8 +101,8 @@
 		e.kind = changeRecord
 	case c.Endpoint != nil:
 		e.host = c.Endpoint.Host
-	case c.Forgot != "":
-		e.host = c.Forgot
+	case c.RemovedEndpoint != "":
+		e.host = c.RemovedEndpoint
 	case c.Replica != nil:
 		e.host = c.Replica.Host
 	default:
--- a/internal/app/control/loop.go
+++ b/internal/app/control/loop.go
@@ -272,7 +272,7 @@
 	case c.Grant != nil:
 		ev.Stringer("target", c.Grant.Target).Str("endpoint", string(c.Grant.Host)).Str("reason", c.Grant.Reason).Str("message", res.Message).Msg("replica_granted")
 	case c.Replica != nil:
-		ev.Uint64("replica", uint64(c.Replica.ID)).Str("phase", string(c.Replica.Phase)).Bool("gone", c.Replica.Gone).Str("reason", c.Replica.Reason).Msg("replica_changed")
+		ev.Uint64("replica", uint64(c.Replica.ID)).Str("phase", string(c.Replica.Phase)).Bool("gone", c.Replica.Removed).Str("reason", c.Replica.Reason).Msg("replica_changed")
 	case c.Endpoint != nil:
 		e := c.Endpoint.Endpoint
 		ev.Str("endpoint", string(e.Host)).Uint64("incarnation", uint64(e.Incarnation)).Bool("up", e.Up).Bool("leaving", e.Leaving).Str("reason", c.Endpoint.Reason).Msg("endpoint_changed")
--- a/internal/app/control/metrics.go
+++ b/internal/app/control/metrics.go
@@ -19,7 +19,7 @@
 	waitSeconds *vm.Summary // waits of messages to other control hosts until they are written
 }
 
-func newMetrics(s *vm.Set, count *rpc.Counter, status func() consensus.Status, subscribers func() int) *metrics {
+func newMetrics(s *vm.Set, count *rpc.ByteCounter, status func() consensus.Status, subscribers func() int) *metrics {
 	if s == nil {
 		s = vm.NewSet()
 	}
@@ -42,6 +42,6 @@
 	s.NewGauge("cassiapass_control_term", func() float64 { return float64(status().Term) })
 	s.NewGauge("cassiapass_control_commit_index", func() float64 { return float64(status().Commit) })
 	s.NewGauge("cassiapass_control_applied_index", func() float64 { return float64(status().Applied) })
-	opshttp.CountBytes(s, count)
+	opshttp.RegisterByteCounters(s, count)
 	return m
 }
--- a/internal/app/control/peers.go
+++ b/internal/app/control/peers.go
@@ -26,7 +26,7 @@
 // peers holds the outgoing connections to the other control hosts.
 type peers struct {
 	sec   rpc.Security
-	count *rpc.Counter
+	count *rpc.ByteCounter
 	self  consensus.NodeID
 	log   zerolog.Logger
 	waits *vm.Summary // seconds that messages wait until they are written
@@ -56,7 +56,7 @@
 	return pr
 }
 
-func newPeers(self consensus.NodeID, sec rpc.Security, count *rpc.Counter, log zerolog.Logger, waits *vm.Summary, contactAddr func(consensus.NodeID) (string, bool)) *peers {
+func newPeers(self consensus.NodeID, sec rpc.Security, count *rpc.ByteCounter, log zerolog.Logger, waits *vm.Summary, contactAddr func(consensus.NodeID) (string, bool)) *peers {
 	return &peers{sec: sec, count: count, self: self, log: log, waits: waits, contactAddr: contactAddr, peers: map[consensus.NodeID]*peer{}}
 }
 
@@ -219,7 +219,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), maxPeerSilence/2)
 		err := conn.Call(ctx, wire.MethodPing, nil, nil)
 		cancel()
-		if err != nil && !conn.Sending(begin) {
+		if err != nil && !conn.SentChunkSince(begin) {
 			conn.Close()
 			return
 		}
--- a/internal/app/control/peers_test.go
+++ b/internal/app/control/peers_test.go
@@ -24,12 +24,12 @@
 		}
 		return nil, nil
 	}
-	srv, err := rpc.Listen("127.0.0.1:0", rpc.Security{}, &rpc.Counter{}, handle, nil, nil)
+	srv, err := rpc.Listen("127.0.0.1:0", rpc.Security{}, &rpc.ByteCounter{}, handle, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer srv.Close()
-	c, err := rpc.Dial(t.Context(), slowRelay(t, srv.Addr(), rate), rpc.Security{}, &rpc.Counter{}, ignoreCalls)
+	c, err := rpc.Dial(t.Context(), slowRelay(t, srv.Addr(), rate), rpc.Security{}, &rpc.ByteCounter{}, ignoreCalls)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/app/control/poison.go
+++ b/internal/app/control/poison.go
@@ -17,9 +17,9 @@
 	return r
 }
 
-// NotePoison records in the log which requests are quarantined and which no longer are. It
+// CommitPoison records in the log which requests are quarantined and which no longer are. It
 // returns nil when the change is committed, and an error on a host that does not lead.
-func (c *Control) NotePoison(ctx context.Context, n poison.Note) error {
+func (c *Control) CommitPoison(ctx context.Context, n poison.Change) error {
 	_, err := c.proposeHere(ctx, state.Command{By: "control", Poison: &n})
 	return err
 }
@@ -53,5 +53,5 @@
 	if err != nil {
 		return x.JSON(http.StatusBadRequest, Failure{Code: string(state.Invalid), Message: err.Error()})
 	}
-	return c.decide(x, state.Command{By: operatorName(x), Poison: &poison.Note{Lift: []poison.Fingerprint{f}}})
+	return c.decide(x, state.Command{By: operatorName(x), Poison: &poison.Change{Lift: []poison.Fingerprint{f}}})
 }
--- a/internal/app/control/propose.go
+++ b/internal/app/control/propose.go
@@ -65,7 +65,7 @@
 // sending the first.
 func (l *loop) joinRepeated(d state.Deploy, ch chan<- proposalResult) bool {
 	// A committed deployment stays committed: the answer is correct even on a former leader.
-	if res, known := l.st.Deployed(d); known {
+	if res, known := l.st.CheckDeploy(d); known {
 		ch <- proposalResult{res: res}
 		return true
 	}
--- a/internal/app/controller/allowances.go
+++ b/internal/app/controller/allowances.go
@@ -60,7 +60,7 @@
 	case p.Leaving:
 		a.alloc.Forget(now, string(p.Host))
 	default:
-		a.alloc.Heard(now, string(p.Host), p.Entries)
+		a.alloc.Seen(now, string(p.Host), p.Entries)
 	}
 }
 
--- a/internal/app/controller/bench_test.go
+++ b/internal/app/controller/bench_test.go
@@ -56,7 +56,7 @@
 		f.eps = append(f.eps, ep)
 	}
 	dep := &deploy.Config{Version: 3, Services: map[string]*deploy.Service{"llm": {Name: "llm", Engine: &deploy.Engine{
-		Slots: 16, Weights: 83000, AdapterPlaces: 8, StoreLoads: 82, Models: models}}}}
+		Slots: 16, ModelMegabytes: 83000, AdapterSlots: 8, StoreLoads: 82, Models: models}}}}
 	return f, dep
 }
 
@@ -73,7 +73,7 @@
 	}
 	for i := range 8 {
 		e := (entry*7 + round*3 + i*29) % benchEngines
-		p.Uses = append(p.Uses, fleet.Use{Endpoint: fleet.EndpointID(fmt.Sprintf("i-%08x", e)), Want: fleet.Want{Model: fmt.Sprintf("model%04x", 2*e%benchModels)}, Running: 1, Begun: 1})
+		p.Uses = append(p.Uses, fleet.Use{Endpoint: fleet.EndpointID(fmt.Sprintf("i-%08x", e)), Want: fleet.Want{Model: fmt.Sprintf("model%04x", 2*e%benchModels)}, Running: 1, Sent: 1})
 	}
 	return p
 }
@@ -86,7 +86,7 @@
 	c := New(Config{Fleet: f, Decode: func(string) (*deploy.Config, error) { return dep, nil }, Plan: fleet.DefaultConfig(), Host: "h1", Log: zerolog.Nop()})
 	lead := leading(1)
 	c.host = lead
-	c.pub.setDeployment(lead.DeploymentHere())
+	c.pub.setDeployment(lead.LocalDeployment())
 	now := time.Now()
 	c.host = &testHost{}
 	c.beginTerm(now, 1)
@@ -112,7 +112,7 @@
 			if err := json.Unmarshal(reports[round%len(reports)], &p); err != nil {
 				b.Fatal(err)
 			}
-			c.planner.Hear(now, string(p.Host), p.Demands, p.Uses)
+			c.planner.RecordDemand(now, string(p.Host), p.Demands, p.Uses)
 			round++
 		}
 		for range 10 {
--- a/internal/app/controller/calls.go
+++ b/internal/app/controller/calls.go
@@ -15,8 +15,8 @@
 // heartbeats.
 const maxHold = time.Second
 
-// Deployed publishes a deployment that came into force on this host.
-func (c *Controller) Deployed(d state.Deployment) { c.pub.setDeployment(d) }
+// DeploymentChanged publishes a deployment that came into force on this host.
+func (c *Controller) DeploymentChanged(d state.Deployment) { c.pub.setDeployment(d) }
 
 // Handle answers the calls of entries. It fails on an unknown method and on parameters
 // that cannot be decoded.
@@ -55,8 +55,8 @@
 	if p.First {
 		// A starting process accepts any deployment; a partitioned leader that
 		// has not stepped down yet would send it an old one.
-		l := c.host.Lead()
-		if err := c.host.ConfirmLead(ctx, l.Term); err != nil {
+		l := c.host.LeaderStatus()
+		if err := c.host.ConfirmLeadership(ctx, l.Term); err != nil {
 			return c.redirect(), nil
 		}
 	}
@@ -139,7 +139,7 @@
 func (c *Controller) acceptReport(p wire.TellParams) {
 	c.post(func(now time.Time) {
 		if c.planner != nil {
-			c.planner.Hear(now, string(p.Host), p.Demands, p.Uses)
+			c.planner.RecordDemand(now, string(p.Host), p.Demands, p.Uses)
 			c.recordEnds(now, p.Host, p.Ends, p.Answered)
 		}
 	})
--- a/internal/app/controller/confirm_test.go
+++ b/internal/app/controller/confirm_test.go
@@ -18,9 +18,9 @@
 	confirmations atomic.Int64
 }
 
-func (l *countingHost) ConfirmLead(ctx context.Context, term uint64) error {
+func (l *countingHost) ConfirmLeadership(ctx context.Context, term uint64) error {
 	l.confirmations.Add(1)
-	return l.testHost.ConfirmLead(ctx, term)
+	return l.testHost.ConfirmLeadership(ctx, term)
 }
 
 // idle returns a controller whose loop does not run.
--- a/internal/app/controller/controller.go
+++ b/internal/app/controller/controller.go
@@ -69,9 +69,9 @@
 	// Tolerance is the amount by which a customer's use may exceed its allowance in any
 	// window.
 	Tolerance allowance.Tolerance
-	// TellRate is the rate in bytes a second of large answers to all entries together; 0
+	// SendRate is the rate in bytes a second of large answers to all entries together; 0
 	// selects a default for a link of 100 Mbit/s.
-	TellRate float64
+	SendRate float64
 	// Metrics is the set in which the Controller registers its metrics.
 	Metrics *vm.Set
 	Log     zerolog.Logger
@@ -79,19 +79,19 @@
 
 // Leadership is the part of the control host that the Controller uses.
 type Leadership interface {
-	Lead() control.Lead
-	ConfirmLead(ctx context.Context, term uint64) error
+	LeaderStatus() control.LeaderStatus
+	ConfirmLeadership(ctx context.Context, term uint64) error
 	LeaderAddr() string
 	Members() []string
-	DeploymentHere() state.Deployment
+	LocalDeployment() state.Deployment
 	// Holder returns the newest record in the log of the host that holds the engines.
 	Holder() holder.Record
-	// NoteHolder commits such a record; it fails on a host that does not lead.
-	NoteHolder(ctx context.Context, r holder.Record) error
+	// CommitHolder commits such a record; it fails on a host that does not lead.
+	CommitHolder(ctx context.Context, r holder.Record) error
 	// Poison returns the quarantined requests, as this host has applied them.
 	Poison() poison.Registry
-	// NotePoison commits a change to them; it fails on a host that does not lead.
-	NotePoison(ctx context.Context, n poison.Note) error
+	// CommitPoison commits a change to them; it fails on a host that does not lead.
+	CommitPoison(ctx context.Context, n poison.Change) error
 }
 
 // Controller plans and publishes for one control host while that host leads.
@@ -133,13 +133,13 @@
 // New returns a Controller that Run starts.
 func New(cfg Config) *Controller {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Controller{cfg: cfg, events: make(chan func(time.Time), 1024), ctx: ctx, cancel: cancel, done: make(chan struct{}), pub: newPublisher(cfg.TellRate), allow: allowances{tolerance: cfg.Tolerance}, met: newMetrics(cfg.Metrics)}
+	return &Controller{cfg: cfg, events: make(chan func(time.Time), 1024), ctx: ctx, cancel: cancel, done: make(chan struct{}), pub: newPublisher(cfg.SendRate), allow: allowances{tolerance: cfg.Tolerance}, met: newMetrics(cfg.Metrics)}
 }
 
 // Run starts the loop for a control host.
 func (c *Controller) Run(lead Leadership) {
 	c.host = lead
-	c.pub.setDeployment(lead.DeploymentHere())
+	c.pub.setDeployment(lead.LocalDeployment())
 	go c.loop()
 }
 
@@ -215,7 +215,7 @@
 
 // followLeadership starts or ends the duties of the leader when leadership changes.
 func (c *Controller) followLeadership(now time.Time) {
-	l := c.host.Lead()
+	l := c.host.LeaderStatus()
 	switch {
 	case !l.Leading && c.term != 0:
 		c.cfg.Log.Info().Uint64("term", c.term).Msg("fleet_duties_ended")
@@ -331,7 +331,7 @@
 func (c *Controller) recordUnreadable(l fleet.Listing) {
 	c.met.countUnreadable(l.Unreadable)
 	if l.Unreadable != c.unreadable {
-		c.cfg.Log.Warn().Int("entries", l.Unreadable).Int("before", c.unreadable).Str("first", l.Why).Msg("list_entries_unreadable")
+		c.cfg.Log.Warn().Int("entries", l.Unreadable).Int("before", c.unreadable).Str("first", l.Reason).Msg("list_entries_unreadable")
 		c.unreadable = l.Unreadable
 	}
 }
@@ -352,10 +352,10 @@
 		c.cfg.Log.Info().Str("endpoint", string(s.Endpoint)).Str("op", string(s.Op)).Str("model", s.Want.Model).Str("adapter", s.Want.Adapter).
 			Uint64("expected", s.Expected).Str("source", string(s.Source)).Str("result", s.Result).Dur("took", s.Took).Msg("order_settled")
 	}
-	for _, s := range w.Started {
-		c.cfg.Log.Warn().Str("endpoint", string(s.Endpoint)).Str("before", string(s.Before)).Msg("endpoint_started_again")
+	for _, s := range w.Restarts {
+		c.cfg.Log.Warn().Str("endpoint", string(s.Endpoint)).Str("before", string(s.Previous)).Msg("endpoint_started_again")
 	}
-	for _, refused := range w.Refused {
+	for _, refused := range w.Quarantined {
 		c.cfg.Log.Warn().Str("model", refused.Model).Str("adapter", refused.Adapter).Msg("load_quarantined")
 	}
 	if len(w.Orders) > 0 {
@@ -372,7 +372,7 @@
 func (c *Controller) sendOrders(planner *fleet.Planner, term uint64, orders []fleet.Order) {
 	ctx, cancel := context.WithTimeout(c.ctx, orderTimeout)
 	begin := time.Now()
-	err := c.host.ConfirmLead(ctx, term)
+	err := c.host.ConfirmLeadership(ctx, term)
 	var given sync.WaitGroup
 	for _, o := range orders {
 		given.Go(func() { c.sendOrder(ctx, planner, term, o, begin, err) })
@@ -412,13 +412,13 @@
 		c.cfg.Log.Info().Str("endpoint", string(q.Endpoint)).Err(err).Msg("report_failed")
 	}
 	if r.Leaving {
-		c.cfg.Log.Info().Str("endpoint", string(q.Endpoint)).Dur("stays", r.Stays).Int("active", r.Active).Int("queued", r.Queued).Msg("endpoint_leaves")
+		c.cfg.Log.Info().Str("endpoint", string(q.Endpoint)).Dur("stays", r.RemovedIn).Int("active", r.Active).Int("queued", r.Queued).Msg("endpoint_leaves")
 	}
 	c.post(func(now time.Time) {
 		switch {
 		case c.planner != planner:
 		case err != nil:
-			c.planner.Unreported(now, q.Endpoint)
+			c.planner.QueryFailed(now, q.Endpoint)
 		default:
 			c.planner.Reported(now, q.Endpoint, r)
 		}
--- a/internal/app/controller/controller_test.go
+++ b/internal/app/controller/controller_test.go
@@ -30,7 +30,7 @@
 // testHost is a control host whose leadership is set by the test.
 type testHost struct {
 	mu        sync.Mutex
-	lead      control.Lead
+	lead      control.LeaderStatus
 	confirmed bool
 	dep       state.Deployment
 	holder    holder.Record
@@ -43,13 +43,13 @@
 	f()
 }
 
-func (l *testHost) Lead() control.Lead {
+func (l *testHost) LeaderStatus() control.LeaderStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lead
 }
 
-func (l *testHost) ConfirmLead(context.Context, uint64) error {
+func (l *testHost) ConfirmLeadership(context.Context, uint64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.confirmed {
@@ -68,7 +68,7 @@
 	return l.holder
 }
 
-func (l *testHost) NoteHolder(_ context.Context, r holder.Record) error {
+func (l *testHost) CommitHolder(_ context.Context, r holder.Record) error {
 	l.set(func() { l.holder = l.holder.Next(r) })
 	return nil
 }
@@ -79,12 +79,12 @@
 	return l.poison
 }
 
-func (l *testHost) NotePoison(_ context.Context, n poison.Note) error {
+func (l *testHost) CommitPoison(_ context.Context, n poison.Change) error {
 	l.set(func() { l.poison = l.poison.Next(n) })
 	return nil
 }
 
-func (l *testHost) DeploymentHere() state.Deployment { return l.dep }
+func (l *testHost) LocalDeployment() state.Deployment { return l.dep }
 
 // testFleet is one engine that holds no model and has model m on its disk.
 type testFleet struct {
@@ -132,7 +132,7 @@
 func startWithLease(t *testing.T, lead *testHost, fl *testFleet, lease time.Duration) *Controller {
 	t.Helper()
 	dep := &deploy.Config{Version: 3, Services: map[string]*deploy.Service{"llm": {Name: "llm", Engine: &deploy.Engine{
-		Slots: 8, Weights: 83000, AdapterPlaces: 2, Models: map[string]*deploy.Model{"m": {Name: "m", Megabytes: 20000, FromDisk: 50 * time.Millisecond}},
+		Slots: 8, ModelMegabytes: 83000, AdapterSlots: 2, Models: map[string]*deploy.Model{"m": {Name: "m", Megabytes: 20000, FromDisk: 50 * time.Millisecond}},
 	}}}}
 	c := New(Config{Fleet: fl, Decode: func(string) (*deploy.Config, error) { return dep, nil }, Plan: fleet.DefaultConfig(), Host: "h1", Lease: lease, Log: zerolog.Nop()})
 	c.Run(lead)
@@ -141,7 +141,7 @@
 }
 
 func leading(term uint64) *testHost {
-	return &testHost{lead: control.Lead{Leading: true, Term: term}, confirmed: true, dep: state.Deployment{Version: 3, Text: "x", Revision: 9}}
+	return &testHost{lead: control.LeaderStatus{Leading: true, Term: term}, confirmed: true, dep: state.Deployment{Version: 3, Text: "x", Revision: 9}}
 }
 
 func pull(t *testing.T, c *Controller, p wire.PullParams) wire.PullResult {
@@ -161,7 +161,7 @@
 func version(t *testing.T, r wire.PullResult) uint64 {
 	t.Helper()
 	var d state.Deployment
-	if err := wire.Unpack(r.Deployment, &d); err != nil {
+	if err := wire.Decompress(r.Deployment, &d); err != nil {
 		t.Fatal(err)
 	}
 	return d.Version
@@ -207,7 +207,7 @@
 
 	go func() {
 		time.Sleep(30 * time.Millisecond)
-		c.Deployed(state.Deployment{Version: 4, Text: "y"})
+		c.DeploymentChanged(state.Deployment{Version: 4, Text: "y"})
 	}()
 	have.Hold = time.Second
 	at = time.Now()
@@ -388,23 +388,23 @@
 	second, _, _ := pub.answer(wire.PullParams{})
 	is.True(&first.Packed[0] == &second.Packed[0]) // encoded once
 	var got []fleet.Endpoint
-	is.NoErr(wire.Unpack(first.Packed, &got))
+	is.NoErr(wire.Decompress(first.Packed, &got))
 	is.Equal(len(got), len(eps))
 	pub.publishAll(2, eps[1:])
 	delta, _, _ := pub.answer(wire.PullParams{Term: 7, Rev: 1})
 	is.True(delta.Delta && delta.Packed == nil)
 	third, _, _ := pub.answer(wire.PullParams{})
 	got = nil
-	is.NoErr(wire.Unpack(third.Packed, &got))
-	is.Equal(len(got), len(eps)-1)                                        // the newest list
-	is.True(wire.Unpack(third.Packed[:len(third.Packed)/2], &got) != nil) // a truncated one is detected
+	is.NoErr(wire.Decompress(third.Packed, &got))
+	is.Equal(len(got), len(eps)-1)                                            // the newest list
+	is.True(wire.Decompress(third.Packed[:len(third.Packed)/2], &got) != nil) // a truncated one is detected
 }
 
 // Guards against a large change that is sent to 300 entries at the same moment: heartbeats
 // queue behind it, and leaders change every 2 s while a large deployment starts.
 func TestLargeNewsIsSpacedOut(t *testing.T) {
 	is := is.New(t)
-	c := New(Config{Fleet: &testFleet{}, Plan: fleet.DefaultConfig(), Log: zerolog.Nop(), TellRate: 100_000})
+	c := New(Config{Fleet: &testFleet{}, Plan: fleet.DefaultConfig(), Log: zerolog.Nop(), SendRate: 100_000})
 	large := wire.PullResult{Packed: make([]byte, 10_000)}
 	begin := time.Now()
 	var sent atomic.Int64
--- a/internal/app/controller/holding.go
+++ b/internal/app/controller/holding.go
@@ -57,7 +57,7 @@
 func (c *Controller) commitHolder(r holder.Record) {
 	ctx, cancel := context.WithTimeout(c.ctx, commitTimeout)
 	defer cancel()
-	err := c.host.NoteHolder(ctx, r)
+	err := c.host.CommitHolder(ctx, r)
 	if err != nil {
 		c.cfg.Log.Warn().Uint64("term", r.Term).Bool("settled", r.Settled).Err(err).Msg("holder_not_noted")
 	}
--- a/internal/app/controller/publish.go
+++ b/internal/app/controller/publish.go
@@ -30,7 +30,7 @@
 	switch {
 	case !c.unpublished || !c.listOK:
 	case now.Sub(c.publishedAll) >= publishPerEntry*time.Duration(len(c.entries)):
-		c.planner.Awaited() // the waiting entries are among all
+		c.planner.AwaitingEntries() // the waiting entries are among all
 		c.unpublished, c.publishedAll, c.publishedAny = false, now, now
 		c.rev++
 		c.pub.publishAll(c.rev, c.planner.Endpoints())
@@ -41,7 +41,7 @@
 
 // publishAwaited publishes the present state to the entries that wait for something in it.
 func (c *Controller) publishAwaited(now time.Time) {
-	entries := c.planner.Awaited()
+	entries := c.planner.AwaitingEntries()
 	if len(entries) == 0 {
 		return
 	}
@@ -67,7 +67,7 @@
 		return
 	}
 	c.etasUpdated = now
-	changed := c.etas.Take(now, c.planner.ETAs(now))
+	changed := c.etas.Update(now, c.planner.ETAs(now))
 	if len(changed) == 0 {
 		return
 	}
@@ -76,7 +76,7 @@
 			c.cfg.Log.Info().Str("model", o.Model).Dur("in", o.In).Msg("model_eta")
 		}
 	}
-	c.planner.NoteETAs(changed)
+	c.planner.RecordETAs(changed)
 	c.pub.setETAs(now, c.rev+1, changed)
 	c.unpublished = true
 }
--- a/internal/app/controller/publisher.go
+++ b/internal/app/controller/publisher.go
@@ -238,7 +238,7 @@
 // are encoded for each of them and not compressed take 200 MB and 20 s on the leader's
 // link, and its process runs out of memory. The caller holds mu.
 func (pub *publisher) compress(v any) []byte {
-	packed, err := wire.Pack(v)
+	packed, err := wire.Compress(v)
 	if err != nil {
 		panic(err) // plain values always encode
 	}
--- a/internal/app/controller/publisher_test.go
+++ b/internal/app/controller/publisher_test.go
@@ -29,7 +29,7 @@
 	c.beginTerm(now, 3)
 	c.listOK = true
 	c.planner.SetDeployment(&deploy.Config{Services: map[string]*deploy.Service{"llm": {Name: "llm", Engine: &deploy.Engine{
-		Slots: 8, Weights: 83000, AdapterPlaces: 2, Models: map[string]*deploy.Model{"m": {Name: "m", Megabytes: 20000, FromDisk: 50 * time.Millisecond}}}}}})
+		Slots: 8, ModelMegabytes: 83000, AdapterSlots: 2, Models: map[string]*deploy.Model{"m": {Name: "m", Megabytes: 20000, FromDisk: 50 * time.Millisecond}}}}}})
 	for _, e := range []string{"waits", "other"} {
 		c.entries[e] = now.Add(time.Hour)
 	}
@@ -47,7 +47,7 @@
 	first := c.rev
 
 	_, _, wake := c.pub.answer(wire.PullParams{Host: "waits", Term: 3, Rev: first, Version: 9})
-	c.planner.Hear(now, "waits", []fleet.Demand{{Want: fleet.Want{Model: "m"}, Arrived: 1, Waiting: 1, Earliest: time.Second}}, nil)
+	c.planner.RecordDemand(now, "waits", []fleet.Demand{{Want: fleet.Want{Model: "m"}, Arrived: 1, Waiting: 1, Earliest: time.Second}}, nil)
 	w := c.planner.Plan(now)
 	is.Equal(len(w.Orders), 1)
 	c.planner.Answered(now, w.Orders[0], fleet.Accepted)
--- a/internal/app/controller/suspects.go
+++ b/internal/app/controller/suspects.go
@@ -15,7 +15,7 @@
 
 // suspectState is what this leader knows of requests under which endpoints ended.
 type suspectState struct {
-	*poison.Docket
+	*poison.LeaderBook
 	reg         poison.Registry // as committed to the log
 	rev         uint64          // last published revision
 	unpublished bool            // some changes are not published yet
@@ -30,7 +30,7 @@
 // comes from the reports of entries.
 func (c *Controller) beginSuspects(now time.Time) {
 	reg := c.host.Poison()
-	c.suspects = suspectState{Docket: poison.NewDocket(now, reg), reg: reg, unpublished: true, due: true}
+	c.suspects = suspectState{LeaderBook: poison.NewLeaderBook(now, reg), reg: reg, unpublished: true, due: true}
 }
 
 // recordEnds applies an entry's report of requests under which endpoints ended, and of suspect
@@ -54,10 +54,10 @@
 		}
 		st := d.Standing(now, e.Request)
 		d.unpublished, d.due, urgent = true, d.due || quarantined, urgent || st.Ends > 1
-		c.cfg.Log.Info().Stringer("fingerprint", e.Request).Str("endpoint", e.Start).Str("entry", string(host)).Int("ends", st.Ends).Msg("endpoint_ended_under_request")
+		c.cfg.Log.Info().Stringer("fingerprint", e.Request).Str("endpoint", e.Incarnation).Str("entry", string(host)).Int("ends", st.Ends).Msg("endpoint_ended_under_request")
 		if quarantined {
 			c.met.countQuarantined()
-			c.cfg.Log.Warn().Stringer("fingerprint", e.Request).Strs("endpoints", d.StartsOf(e.Request)).Msg("request_quarantined")
+			c.cfg.Log.Warn().Stringer("fingerprint", e.Request).Strs("endpoints", d.IncarnationsOf(e.Request)).Msg("request_quarantined")
 		}
 	}
 	if urgent {
@@ -76,7 +76,7 @@
 	}
 	d.unpublished, d.publishedAt = false, now
 	d.rev++
-	c.pub.publishSuspects(wire.Suspects{Mark: wire.SuspectMark{Term: c.term, Rev: d.rev}, Key: d.reg.Key, Told: d.Tell(now)})
+	c.pub.publishSuspects(wire.Suspects{Mark: wire.SuspectMark{Term: c.term, Rev: d.rev}, Key: d.reg.Key, Told: d.Updates(now)})
 }
 
 // commitDueQuarantines commits to the log the quarantines, which then survive a restart of all
@@ -92,7 +92,7 @@
 	if !d.due || d.committing || now.Sub(d.attemptedAt) < commitRetryPause {
 		return
 	}
-	n, due := d.Due(d.reg)
+	n, due := d.PendingChange(d.reg)
 	if len(d.reg.Key) == 0 {
 		n.Key, due = make(poison.Key, poison.KeySize), true
 		_, _ = rand.Read(n.Key) // never fails
@@ -105,10 +105,10 @@
 	go c.commitQuarantines(c.term, n)
 }
 
-func (c *Controller) commitQuarantines(term uint64, n poison.Note) {
+func (c *Controller) commitQuarantines(term uint64, n poison.Change) {
 	ctx, cancel := context.WithTimeout(c.ctx, commitTimeout)
 	defer cancel()
-	err := c.host.NotePoison(ctx, n)
+	err := c.host.CommitPoison(ctx, n)
 	if err != nil {
 		c.cfg.Log.Warn().Uint64("term", term).Int("quarantined", len(n.Add)).Int("lifted", len(n.Lift)).Err(err).Msg("quarantine_not_noted")
 	}
@@ -121,10 +121,10 @@
 	})
 }
 
-// Quarantined applies a change of the quarantined requests on this host: an operator may have
+// QuarantineChanged applies a change of the quarantined requests on this host: an operator may have
 // lifted a quarantine. It does not block: the caller is the loop of the control host, for
 // which the loop here sometimes waits.
-func (c *Controller) Quarantined(poison.Registry) {
+func (c *Controller) QuarantineChanged(poison.Registry) {
 	go c.post(func(now time.Time) {
 		if c.term != 0 {
 			c.applyRegistry(now, c.host.Poison()) // the newest, which may be later than this change
--- a/internal/app/ctl/quarantine.go
+++ b/internal/app/ctl/quarantine.go
@@ -21,7 +21,7 @@
 	return x.cli.print(cases, func() {
 		x.cli.table("FINGERPRINT\tSINCE\tENDED UNDER IT", func(add func(string, ...any)) {
 			for _, c := range cases {
-				add("%s\t%s\t%s", c.Request, c.Quarantined.Format(time.RFC3339), strings.Join(c.Starts, " "))
+				add("%s\t%s\t%s", c.Request, c.Quarantined.Format(time.RFC3339), strings.Join(c.Incarnations, " "))
 			}
 		})
 	})
--- a/internal/app/daemon/control.go
+++ b/internal/app/daemon/control.go
@@ -85,7 +85,7 @@
 	cfg.Placement.StoreRate, cfg.Placement.StoreConcurrent = o.StoreRate, o.StoreConcurrent
 	cfg.Placement.RemoteSpeed, cfg.Placement.DiskSpeed, cfg.Placement.MemorySpeed = o.StoreSpeed, o.DiskSpeed, o.MemorySpeed
 	if o.HostList != "" {
-		cfg.HostList, cfg.HostEvery = hostlisthttp.New(o.HostList), o.HostListInterval
+		cfg.HostList, cfg.HostListInterval = hostlisthttp.New(o.HostList), o.HostListInterval
 	}
 	cfg.Fatal = func(err error) {
 		// After a failed write or sync, nothing may be acknowledged.
--- a/internal/app/dev/bench_test.go
+++ b/internal/app/dev/bench_test.go
@@ -65,7 +65,7 @@
 func BenchmarkWarm(b *testing.B) {
 	s := benchSystem(b, 0)
 	for _, c := range []struct{ name, addr, model string }{
-		{"engine", s.Agents[0].Back.Addr(), "summary@1"}, {"through entry and agent", s.api(0), "summary"},
+		{"engine", s.Agents[0].ServiceHTTP.Addr(), "summary@1"}, {"through entry and agent", s.api(0), "summary"},
 	} {
 		b.Run(c.name, func(b *testing.B) {
 			body := prompt(c.model, 1, 1)
@@ -172,7 +172,7 @@
 		b.Fatal(err)
 	}
 	defer res.Body.Close()
-	time.AfterFunc(300*time.Millisecond, s.Agents[0].Relay.SilenceOpen)
+	time.AfterFunc(300*time.Millisecond, s.Agents[0].Relay.SilenceConns)
 	buf := make([]byte, 4096)
 	last, longest := time.Now(), time.Duration(0)
 	for {
@@ -222,7 +222,7 @@
 	}
 	time.Sleep(time.Second)
 	for b.Loop() {
-		time.AfterFunc(time.Second, func() { s.Agents[0].Relay.SetDeaf(true) })
+		time.AfterFunc(time.Second, func() { s.Agents[0].Relay.SetDropAll(true) })
 		var out strings.Builder
 		args := []string{"--quiet", "--rate", "100", "--duration", "6s", "--url", "http://" + s.api(0), "--url", "http://" + s.api(1)}
 		if _, err := load.Main(args, func(string) string { return KeyEast }, &out, io.Discard); err != nil {
--- a/internal/app/dev/control_test.go
+++ b/internal/app/dev/control_test.go
@@ -43,7 +43,7 @@
 			if c.Control == nil {
 				continue
 			}
-			if r, ok := c.RecordHere(name); ok {
+			if r, ok := c.LocalRecord(name); ok {
 				rev = max(rev, r.Revision)
 			}
 		}
@@ -103,7 +103,7 @@
 	for err := range errs {
 		is.NoErr(err)
 	}
-	for body, n := range a.Plain.Filed() {
+	for body, n := range a.Plain.Posted() {
 		if n != 1 {
 			t.Fatalf("%s was filed %d times", body, n)
 		}
@@ -120,7 +120,7 @@
 	ctx := testContext(t)
 	old := s.Leader()
 	base := s.revision(t, "outage-reports")
-	old.Relay.SetDeaf(true)
+	old.Relay.SetDropAll(true)
 	s.cutOutgoing(old, true)
 	eventually(t, "another leads", func() bool {
 		for _, c := range s.Controls {
@@ -152,10 +152,10 @@
 		return false
 	})
 	is.Equal(res.Code, state.OK)
-	old.Relay.SetDeaf(false)
+	old.Relay.SetDropAll(false)
 	s.cutOutgoing(old, false)
 	eventually(t, "the old leader holds the majority's change", func() bool {
-		r, _ := old.RecordHere("outage-reports")
+		r, _ := old.LocalRecord("outage-reports")
 		return r.Revision == res.Revision
 	})
 	eventually(t, "it is in force everywhere", func() bool { return s.inForceEverywhere(res.Revision) })
@@ -165,7 +165,7 @@
 func (s *System) cutOutgoing(c *ControlProc, on bool) {
 	for _, o := range s.Controls {
 		if o != c {
-			o.Relay.SilenceOpen()
+			o.Relay.SilenceConns()
 			if on {
 				continue
 			}
@@ -206,7 +206,7 @@
 			continue
 		}
 		is.Equal(r.Code, state.Conflict)
-		is.True(r.Present != nil) // the content in force is shown
+		is.True(r.Current != nil) // the content in force is shown
 	}
 	is.Equal(accepted, 1)
 	for i, c := range s.Controls {
@@ -315,7 +315,7 @@
 	})
 	defer relay.Close()
 	warm(t, s)
-	relay.SetDeaf(true)
+	relay.SetDropAll(true)
 	ctx := testContext(t)
 	base := s.revision(t, "outage-reports")
 	res, err := s.Propose(ctx, state.Command{Withdraw: &state.Withdraw{Request: "w", Name: "outage-reports", Base: base}})
@@ -335,9 +335,9 @@
 	is := is.New(t)
 	s := start(t, nil)
 	for _, addr := range []string{s.Controls[0].Addr(), s.Agents[0].Addr()} {
-		_, err := rpc.Dial(testContext(t), addr, rpc.Security{Key: []byte("another-key-of-some-length")}, &rpc.Counter{}, nil)
+		_, err := rpc.Dial(testContext(t), addr, rpc.Security{Key: []byte("another-key-of-some-length")}, &rpc.ByteCounter{}, nil)
 		is.True(errors.Is(err, rpc.ErrAuth))
-		c, err := rpc.Dial(testContext(t), addr, rpc.Security{}, &rpc.Counter{}, nil)
+		c, err := rpc.Dial(testContext(t), addr, rpc.Security{}, &rpc.ByteCounter{}, nil)
 		is.NoErr(err) // the TCP connection opens, but calls get no answer
 		cctx, cancel := context.WithTimeout(testContext(t), testTimeout)
 		is.True(c.Call(cctx, wire.MethodPing, nil, nil) != nil)
--- a/internal/app/dev/dev.go
+++ b/internal/app/dev/dev.go
@@ -103,16 +103,16 @@
 	Ops *daemon.HTTP
 }
 
-// AgentProc is one agent with its fake engine or plain service. Back is the HTTP listener of
-// that fake.
+// AgentProc is one agent with its fake engine or plain service.
+// ServiceHTTP is the HTTP listener of that fake.
 type AgentProc struct {
 	*agent.Agent
-	Cfg    agent.Config
-	Ops    *daemon.HTTP
-	Engine *fake.Engine
-	Plain  *fake.Plain
-	Back   *daemon.HTTP
-	Relay  *fake.Relay
+	Cfg         agent.Config
+	Ops         *daemon.HTTP
+	Engine      *fake.Engine
+	Plain       *fake.Plain
+	ServiceHTTP *daemon.HTTP
+	Relay       *fake.Relay
 }
 
 func (s *System) listen(kind string, i int) string {
@@ -187,7 +187,7 @@
 	c, err := control.New(control.Config{
 		Host: host, Group: ident.DefaultGroup, Listen: s.listen("control", i), Advertise: advertise, DataDir: p.Dir, Bootstrap: i == 0,
 		Security: s.security(), Placement: s.cfg.Placement, Leases: s.cfg.Leases,
-		HostList: hostlisthttp.New("http://" + s.hostsHTTP.Addr()), HostEvery: time.Second,
+		HostList: hostlisthttp.New("http://" + s.hostsHTTP.Addr()), HostListInterval: time.Second,
 		Log: log, Fatal: func(err error) { log.Error().Err(err).Msg("control_failed") },
 	})
 	if err != nil {
@@ -275,7 +275,7 @@
 	cfg.Host, cfg.Zone, cfg.Place, cfg.Memory, cfg.HonoursFence = spec.Host, spec.Zone, spec.Place, spec.Memory, spec.HonoursFence
 	cfg.Engine = enginehttp.New("http://" + back.Addr())
 	cfg.LongestOrder = 2 * time.Second
-	return s.addAgent(&AgentProc{Cfg: cfg, Engine: eng, Back: back}, i)
+	return s.addAgent(&AgentProc{Cfg: cfg, Engine: eng, ServiceHTTP: back}, i)
 }
 
 func (s *System) startPlain(name string) error {
@@ -287,7 +287,7 @@
 	cfg := agent.DefaultConfig()
 	cfg.Host, cfg.Zone, cfg.Place, cfg.Serves = ident.HostID(name+"-1"), "gasabo", "kigali", name
 	cfg.Plain = enginehttp.New("http://" + back.Addr())
-	return s.addAgent(&AgentProc{Cfg: cfg, Plain: plain, Back: back}, len(s.Agents))
+	return s.addAgent(&AgentProc{Cfg: cfg, Plain: plain, ServiceHTTP: back}, len(s.Agents))
 }
 
 func (s *System) addAgent(p *AgentProc, i int) error {
@@ -441,7 +441,7 @@
 	for _, a := range s.Agents {
 		a.Stop(time.Second)
 		a.Ops.Close()
-		a.Back.Close()
+		a.ServiceHTTP.Close()
 		if a.Relay != nil {
 			a.Relay.Close()
 		}
--- a/internal/app/dev/endpoints_test.go
+++ b/internal/app/dev/endpoints_test.go
@@ -65,14 +65,14 @@
 		}
 	}
 	removed.Kill()
-	removed.Back.Close()
+	removed.ServiceHTTP.Close()
 	s.Hosts.Set(removed.Cfg.Host, port.HostLeaving)
 	s.Hosts.Remove(removed.Cfg.Host)
 	body := prompt("summary", 3, 2)
 	is.NoErr(checkAnswer(body, send(s.api(0), KeyEast, chat, body), 2))
 	is.Equal(len(other.Engine.Facts().Held), 1)
 	eventually(t, "the host is forgotten", func() bool {
-		return !s.Controls[0].Knows(removed.Cfg.Host)
+		return !s.Controls[0].HasEndpoint(removed.Cfg.Host)
 	})
 }
 
@@ -95,7 +95,7 @@
 	for _, h := range []string{"kyushu-gpu-1", "kyushu-gpu-2"} {
 		if a := s.agent(h); len(a.Engine.Facts().Held) > 0 {
 			a.Kill()
-			a.Back.Close()
+			a.ServiceHTTP.Close()
 			s.Hosts.Remove(a.Cfg.Host)
 			break
 		}
@@ -131,11 +131,11 @@
 	defer relay.Close()
 	warm(t, s)
 	s.Hosts.Remove("kyushu-gpu-1")
-	relay.SetDeaf(true)
-	eventually(t, "it is forgotten", func() bool { return !s.Controls[0].Knows("kyushu-gpu-1") })
+	relay.SetDropAll(true)
+	eventually(t, "it is forgotten", func() bool { return !s.Controls[0].HasEndpoint("kyushu-gpu-1") })
 	s.Hosts.Set("kyushu-gpu-1", port.HostLive)
-	relay.SetDeaf(false)
-	eventually(t, "it is known again", func() bool { return s.Controls[0].Knows("kyushu-gpu-1") })
+	relay.SetDropAll(false)
+	eventually(t, "it is known again", func() bool { return s.Controls[0].HasEndpoint("kyushu-gpu-1") })
 	body := prompt("summary", 9, 3)
 	is.NoErr(checkAnswer(body, send(s.api(0), KeyEast, chat, body), 3))
 	is.Equal(s.agent("kyushu-gpu-1").Engine.Facts().Overcommit, 0)
--- a/internal/app/dev/helper_test.go
+++ b/internal/app/dev/helper_test.go
@@ -100,7 +100,7 @@
 		return fmt.Errorf("status %d, outcome %q, error %v, body %s", r.status, r.outcome, r.err, r.body)
 	}
 	var want strings.Builder
-	for _, tok := range fake.Text([]byte(body), tokens) {
+	for _, tok := range fake.AnswerText([]byte(body), tokens) {
 		fmt.Fprintf(&want, "data: {\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n", tok)
 	}
 	want.WriteString("data: [DONE]\n\n")
--- a/internal/app/dev/poison_test.go
+++ b/internal/app/dev/poison_test.go
@@ -127,7 +127,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	res, err := s.Propose(ctx, state.Command{By: "operator", Poison: &poison.Note{Lift: []poison.Fingerprint{reg.Cases[0].Request}}})
+	res, err := s.Propose(ctx, state.Command{By: "operator", Poison: &poison.Change{Lift: []poison.Fingerprint{reg.Cases[0].Request}}})
 	is.NoErr(err)
 	is.Equal(res.Code, state.OK)
 	eventually(t, "it runs again when it is lifted", func() bool {
--- a/internal/app/dev/random_test.go
+++ b/internal/app/dev/random_test.go
@@ -26,9 +26,9 @@
 	a := s.Agents[r.IntN(len(s.Agents))]
 	switch r.IntN(8) {
 	case 0:
-		a.Relay.Cut()
+		a.Relay.CloseConns()
 	case 1:
-		a.Relay.SilenceOpen()
+		a.Relay.SilenceConns()
 	case 2:
 		for i := range s.Agents {
 			if s.Agents[i] == a {
@@ -46,7 +46,7 @@
 			t.Error(err)
 		}
 	case 4:
-		s.Controls[r.IntN(len(s.Controls))].Relay.SilenceOpen()
+		s.Controls[r.IntN(len(s.Controls))].Relay.SilenceConns()
 	case 5:
 		s.Agents[0].Engine.Inject(fake.EngineFaults{CutAfter: r.IntN(400), CutAnswers: 2})
 	case 6:
@@ -76,7 +76,7 @@
 func randomFaults(t *testing.T, seed uint64) {
 	s := start(t, func(c *Config) {
 		c.Controls, c.Relayed = 3, true
-		c.TuneAgent = func(a *agent.Config) { a.EngineSilent = 300 * time.Millisecond }
+		c.TuneAgent = func(a *agent.Config) { a.EngineSilenceLimit = 300 * time.Millisecond }
 	})
 	plain := s.agent("receipts-1").Plain
 	var stop atomic.Bool
@@ -105,7 +105,7 @@
 	}
 	stop.Store(true)
 	wg.Wait()
-	for body, times := range plain.Filed() {
+	for body, times := range plain.Posted() {
 		if times > 1 {
 			t.Errorf("%s was filed %d times", body, times)
 		}
@@ -151,7 +151,7 @@
 }
 
 func checkFiled(t *testing.T, plain *fake.Plain, body, outcome string) {
-	times := plain.Filed()[body]
+	times := plain.Posted()[body]
 	switch {
 	case outcome == "answered" && times != 1:
 		t.Errorf("%s: answered, filed %d times", body, times)
@@ -199,7 +199,7 @@
 // runDirectly sends one attempt to an agent without an entry.
 func runDirectly(t *testing.T, a *AgentProc, sentTo ident.Incarnation) wire.RunResult {
 	t.Helper()
-	conn, err := rpc.Dial(testContext(t), a.Addr(), a.Cfg.Security, &rpc.Counter{}, func(context.Context, *rpc.Conn, string, wire.Raw) (any, error) { return nil, nil })
+	conn, err := rpc.Dial(testContext(t), a.Addr(), a.Cfg.Security, &rpc.ByteCounter{}, func(context.Context, *rpc.Conn, string, wire.Raw) (any, error) { return nil, nil })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -224,7 +224,7 @@
 	a.Plain.Delay = testTimeout
 	done := make(chan reply)
 	go func() { done <- send(s.api(0), KeyOffice, "/services/receipts/renewals", `{"cut":1}`) }()
-	eventually(t, "it runs", func() bool { return a.Plain.Filed()[`{"cut":1}`] == 1 })
+	eventually(t, "it runs", func() bool { return a.Plain.Posted()[`{"cut":1}`] == 1 })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	s.Entries[0].Drain(ctx)
@@ -236,7 +236,7 @@
 	for i := range 2 {
 		send(s.api(i), KeyOffice, "/services/receipts/renewals", `{"key":1}`, entry.HeaderKey, "same")
 	}
-	return a.Plain.Filed()[`{"key":1}`]
+	return a.Plain.Posted()[`{"key":1}`]
 }
 
 func killWhileRunning(t *testing.T, u entry.Unsafe) int {
@@ -244,11 +244,11 @@
 	a.Plain.Delay = 300 * time.Millisecond
 	done := make(chan reply)
 	go func() { done <- send(s.api(0), KeyOffice, "/services/receipts/renewals", `{"die":1}`) }()
-	eventually(t, "it runs", func() bool { return a.Plain.Filed()[`{"die":1}`] == 1 })
+	eventually(t, "it runs", func() bool { return a.Plain.Posted()[`{"die":1}`] == 1 })
 	a.Kill()
 	if err := s.OpenAgent(len(s.Agents) - 1); err != nil {
 		t.Fatal(err)
 	}
 	<-done
-	return a.Plain.Filed()[`{"die":1}`]
+	return a.Plain.Posted()[`{"die":1}`]
 }
--- a/internal/app/dev/requests_test.go
+++ b/internal/app/dev/requests_test.go
@@ -66,7 +66,7 @@
 	done := make(chan reply)
 	go func() { done <- send(s.api(0), KeyEast, chat, body) }()
 	time.Sleep(300 * time.Millisecond)
-	s.Agents[0].Relay.SilenceOpen()
+	s.Agents[0].Relay.SilenceConns()
 	is.NoErr(checkAnswer(body, <-done, 200))
 }
 
@@ -96,7 +96,7 @@
 			go func() {
 				for range 5 {
 					time.Sleep(60 * time.Millisecond)
-					s.Agents[0].Relay.Cut()
+					s.Agents[0].Relay.CloseConns()
 				}
 			}()
 		}},
@@ -106,7 +106,7 @@
 			is := is.New(t)
 			s := start(t, func(cfg *Config) {
 				cfg.Relayed, cfg.TokenEvery = true, 2*time.Millisecond
-				cfg.TuneAgent = func(a *agent.Config) { a.EngineSilent = 300 * time.Millisecond }
+				cfg.TuneAgent = func(a *agent.Config) { a.EngineSilenceLimit = 300 * time.Millisecond }
 			})
 			warm(t, s)
 			c.fault(s)
@@ -132,17 +132,17 @@
 			a.Plain.Delay = 400 * time.Millisecond
 			done := make(chan reply)
 			go func() { done <- send(s.api(0), KeyOffice, "/services/receipts/renewals", `{"dog":7}`) }()
-			eventually(t, "the renewal runs", func() bool { return len(a.Plain.Filed()) == 1 })
+			eventually(t, "the renewal runs", func() bool { return len(a.Plain.Posted()) == 1 })
 			switch how {
 			case "cut":
-				a.Relay.Cut()
+				a.Relay.CloseConns()
 			case "silent":
-				a.Relay.SilenceOpen()
+				a.Relay.SilenceConns()
 			case "deaf":
-				a.Relay.SetDeaf(true)
+				a.Relay.SetDropAll(true)
 			}
 			r := <-done
-			is.Equal(a.Plain.Filed()[`{"dog":7}`], 1)
+			is.Equal(a.Plain.Posted()[`{"dog":7}`], 1)
 			if how == "deaf" {
 				is.Equal(r.outcome, "unknown") // it ran, but the agent cannot be reached to confirm it
 				return
@@ -162,13 +162,13 @@
 	a.Plain.Delay = 300 * time.Millisecond
 	done := make(chan reply)
 	go func() { done <- send(s.api(0), KeyOffice, "/services/receipts/renewals", `{"dog":8}`) }()
-	eventually(t, "the renewal runs", func() bool { return len(a.Plain.Filed()) == 1 })
+	eventually(t, "the renewal runs", func() bool { return len(a.Plain.Posted()) == 1 })
 	a.Kill()
 	is.NoErr(s.OpenAgent(len(s.Agents) - 1))
 	r := <-done
 	is.Equal(r.outcome, "unknown")
 	is.Equal(r.status, http.StatusBadGateway)
-	is.Equal(a.Plain.Filed()[`{"dog":8}`], 1)
+	is.Equal(a.Plain.Posted()[`{"dog":8}`], 1)
 }
 
 // A keyed request must run once when its caller sends it through both entries concurrently,
@@ -193,11 +193,11 @@
 		is.Equal(r.body, replies[0].body)
 		is.Equal(r.outcome, "answered")
 	}
-	is.Equal(a.Plain.Filed()[`{"dog":9}`], 1)
+	is.Equal(a.Plain.Posted()[`{"dog":9}`], 1)
 	r := send(s.api(0), KeyOffice, "/services/receipts/renewals", `{"dog":10}`, entry.HeaderKey, "key-9")
 	is.Equal(r.status, http.StatusUnprocessableEntity)
 	is.Equal(r.outcome, "not_run")
-	is.Equal(a.Plain.Filed()[`{"dog":10}`], 0)
+	is.Equal(a.Plain.Posted()[`{"dog":10}`], 0)
 }
 
 // Without a quorum (two of three control hosts are lost), keyed requests must not run without
@@ -214,7 +214,7 @@
 	is.Equal(r.outcome, "not_run")
 	is.Equal(r.status, http.StatusServiceUnavailable)
 	is.True(r.header.Get("Retry-After") != "")
-	is.Equal(len(a.Plain.Filed()), 0)
+	is.Equal(len(a.Plain.Posted()), 0)
 	r = send(s.api(0), KeyOffice, "/services/receipts/renewals", `{"dog":12}`)
 	is.Equal(r.outcome, "answered")
 	s.Controls[1].Control, s.Controls[2].Control = nil, nil
@@ -284,7 +284,7 @@
 	is := is.New(t)
 	s := start(t, func(c *Config) {
 		c.TokenEvery = 0
-		c.TuneEntry = func(e *entry.Config) { e.WriteWait = 300 * time.Millisecond }
+		c.TuneEntry = func(e *entry.Config) { e.WriteTimeout = 300 * time.Millisecond }
 	})
 	warm(t, s)
 	body := prompt("summary", 1, 200_000)
@@ -371,7 +371,7 @@
 	eventually(t, "both hold all models", func() bool {
 		return len(first.Engine.Facts().Held) == 3 && len(second.Engine.Facts().Held) == 3
 	})
-	first.Relay.SetDeaf(true)
+	first.Relay.SetDropAll(true)
 	const callers = 40
 	errs := make([]error, callers)
 	var wg sync.WaitGroup
--- a/internal/app/entry/attempt.go
+++ b/internal/app/entry/attempt.go
@@ -108,7 +108,7 @@
 			return a.interpret(res)
 		}
 		p.SentTo = a.ep.Incarnation
-		if !rpc.Refused(err) {
+		if !rpc.IsRemoteError(err) {
 			conn.Close() // silent or broken: the next try dials again
 		}
 		if a.job.repeatable {
@@ -244,7 +244,7 @@
 func (a *attempt) handleEnd(end wire.End) (attemptResult, bool) {
 	e := a.entry
 	e.locked(func() { e.table.Report(time.Now(), a.ep.Host, end.Load) })
-	if end.State == wire.RunAccepted && !a.received.Whole(end.Total) {
+	if end.State == wire.RunAccepted && !a.received.Complete(end.Total) {
 		e.met.gaps.Inc()
 		return attemptResult{}, false
 	}
--- a/internal/app/entry/claim.go
+++ b/internal/app/entry/claim.go
@@ -44,7 +44,7 @@
 			if !retry {
 				return ref
 			}
-		case state.DigestDiffer:
+		case state.DigestMismatch:
 			return &refusal{outcome: NotRun, status: http.StatusUnprocessableEntity, kind: kindRequest, code: "idempotency_key_reused", message: res.Message}
 		default:
 			return notRun("claim_refused", res.Message, 0)
--- a/internal/app/entry/entry.go
+++ b/internal/app/entry/entry.go
@@ -27,16 +27,16 @@
 	Security rpc.Security
 	Log      zerolog.Logger
 
-	MaxBody     int64         // bytes of a request body
-	MaxRequests int           // requests in progress; more are refused as not run
-	MaxDuration time.Duration // longest duration of one request
-	Window      int           // bytes of an answer buffered for a slow caller
-	WriteWait   time.Duration // a caller that reads nothing for this long is disconnected
-	RetryShare  float64       // retries allowed per request
-	RetryBurst  float64
-	RateBurst   time.Duration // this long of a customer's rate may be used at once
-	Unsafe      Unsafe        // never set outside tests
-	Incarnation ident.Incarnation
+	MaxBody      int64         // bytes of a request body
+	MaxRequests  int           // requests in progress; more are refused as not run
+	MaxDuration  time.Duration // longest duration of one request
+	Window       int           // bytes of an answer buffered for a slow caller
+	WriteTimeout time.Duration // a caller that reads nothing for this long is disconnected
+	RetryShare   float64       // retries allowed per request
+	RetryBurst   float64
+	RateBurst    time.Duration // this long of a customer's rate may be used at once
+	Unsafe       Unsafe        // never set outside tests
+	Incarnation  ident.Incarnation
 }
 
 // Unsafe names a safeguard that tests turn off to show that the checks detect
@@ -53,7 +53,7 @@
 // DefaultConfig returns the bounds measured in docs/CAPACITY.md.
 func DefaultConfig() Config {
 	return Config{
-		MaxBody: 8 << 20, MaxRequests: 4096, MaxDuration: 10 * time.Minute, Window: 64 << 10, WriteWait: 20 * time.Second,
+		MaxBody: 8 << 20, MaxRequests: 4096, MaxDuration: 10 * time.Minute, Window: 64 << 10, WriteTimeout: 20 * time.Second,
 		RetryShare: 0.2, RetryBurst: 20, RateBurst: 10 * time.Second,
 	}
 }
@@ -62,7 +62,7 @@
 type Entry struct {
 	cfg         Config
 	follower    *follow.Follower
-	count       *rpc.Counter
+	count       *rpc.ByteCounter
 	met         *metrics
 	pool        *pool
 	waitlists   *waitlists
@@ -125,7 +125,7 @@
 		cfg.Incarnation = ident.Incarnation(time.Now().UnixNano())
 	}
 	e := &Entry{
-		cfg: cfg, count: &rpc.Counter{}, recent: newRecent(), suspects: newSuspects(), abort: make(chan struct{}),
+		cfg: cfg, count: &rpc.ByteCounter{}, recent: newRecent(), suspects: newSuspects(), abort: make(chan struct{}),
 		table:        routing.New(routing.DefaultConfig(cfg.Zone, rand.IntN)),
 		budget:       limit.NewBudget(cfg.RetryShare, cfg.RetryBurst),
 		rates:        limit.NewRates(cfg.RateBurst),
@@ -159,7 +159,7 @@
 		for h, ep := range v.Endpoints() {
 			if e.incarnations[h] != ep.Incarnation {
 				e.incarnations[h] = ep.Incarnation
-				e.table.Renewed(h)
+				e.table.Restarted(h)
 			}
 		}
 		for h := range e.incarnations {
--- a/internal/app/entry/job.go
+++ b/internal/app/entry/job.go
@@ -218,7 +218,7 @@
 // request against them: it must not run under a configuration that was replaced.
 func (e *Entry) catchUp(j *job, r attemptResult) *refusal {
 	e.met.catchUps.Inc()
-	e.follower.TakeRecords(r.records)
+	e.follower.ApplyRecords(r.records)
 	j.configRetries++
 	if j.configRetries > maxConfigRetries {
 		return notRun("configuration_changing", "the configuration changes faster than this entry follows", 0)
@@ -308,7 +308,7 @@
 	switch {
 	case !known:
 		return nil
-	case reason != "" && in == 0 && reason == placement.ReasonNoRoom:
+	case reason != "" && in == 0 && reason == placement.ReasonNoMemory:
 		if j.noMemorySince.IsZero() {
 			j.noMemorySince = now
 		}
--- a/internal/app/entry/ops.go
+++ b/internal/app/entry/ops.go
@@ -42,7 +42,7 @@
 	}
 	s.NewGauge("cassiapass_entry_waiting", func() float64 { return float64(m.waiting.Load()) })
 	s.NewGauge("cassiapass_entry_in_progress", func() float64 { return float64(e.requests.inProgress()) })
-	opshttp.CountBytes(s, e.count)
+	opshttp.RegisterByteCounters(s, e.count)
 	return m
 }
 
--- a/internal/app/entry/poison.go
+++ b/internal/app/entry/poison.go
@@ -30,7 +30,7 @@
 	mu       sync.Mutex
 	answered *poison.Recent
 	book     *poison.Book // ends that this entry reported
-	pending  poison.Note
+	pending  poison.Change
 	wake     chan struct{}
 }
 
@@ -43,7 +43,7 @@
 func (s *suspects) recordEnd(now time.Time, f poison.Fingerprint, incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := poison.End{Request: f, Start: incarnation, Cold: s.answered.Cold(now)}
+	e := poison.End{Request: f, Incarnation: incarnation, Cold: s.answered.Cold(now)}
 	if s.answered.Has(now, f) {
 		return
 	}
@@ -89,11 +89,11 @@
 }
 
 // takePending returns the pending reports and clears them.
-func (s *suspects) takePending() poison.Note {
+func (s *suspects) takePending() poison.Change {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.pending
-	s.pending = poison.Note{}
+	s.pending = poison.Change{}
 	return n
 }
 
@@ -113,7 +113,7 @@
 	}
 }
 
-func (e *Entry) commitReport(ctx context.Context, n poison.Note) bool {
+func (e *Entry) commitReport(ctx context.Context, n poison.Change) bool {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	var res state.Result
@@ -164,7 +164,7 @@
 	if !reg.Has(f) {
 		return nil
 	}
-	return notRun("quarantined", "endpoints ended each time that this request ran; it is tried again later", poison.QuarantineStays)
+	return notRun("quarantined", "endpoints ended each time that this request ran; it is tried again later", poison.QuarantineDuration)
 }
 
 // recordResult records whether an engine ended during the attempt or the request was answered.
--- a/internal/app/entry/pool.go
+++ b/internal/app/entry/pool.go
@@ -21,7 +21,7 @@
 // pool holds one connection per agent address, dialled on demand.
 type pool struct {
 	sec       rpc.Security
-	count     *rpc.Counter
+	count     *rpc.ByteCounter
 	onMessage func(method string, raw json.RawMessage)
 
 	mu    sync.Mutex
@@ -50,7 +50,7 @@
 	err  error
 }
 
-func newPool(sec rpc.Security, count *rpc.Counter, onMessage func(string, json.RawMessage)) *pool {
+func newPool(sec rpc.Security, count *rpc.ByteCounter, onMessage func(string, json.RawMessage)) *pool {
 	p := &pool{sec: sec, count: count, onMessage: onMessage, links: map[string]*link{}, done: make(chan struct{})}
 	go p.watch()
 	return p
@@ -180,7 +180,7 @@
 		}
 		return
 	}
-	if now.Sub(l.conn.Heard()) > silenceLimit {
+	if now.Sub(l.conn.LastReceived()) > silenceLimit {
 		go probe(l.conn)
 	}
 }
--- a/internal/app/entry/sink.go
+++ b/internal/app/entry/sink.go
@@ -34,7 +34,7 @@
 }
 
 func newSink(c echo.Context, cfg Config, events bool) *httpSink {
-	return &httpSink{c: c, rc: http.NewResponseController(c.Response()), writeTimeout: cfg.WriteWait, events: events}
+	return &httpSink{c: c, rc: http.NewResponseController(c.Response()), writeTimeout: cfg.WriteTimeout, events: events}
 }
 
 func (s *httpSink) delivered() bool { return s.streaming }
--- a/internal/app/follow/follow.go
+++ b/internal/app/follow/follow.go
@@ -45,7 +45,7 @@
 	Group    ident.Group
 	Control  []string // addresses of control hosts, nearest first
 	Security rpc.Security
-	Count    *rpc.Counter
+	Count    *rpc.ByteCounter
 	Log      zerolog.Logger
 	// Report returns the endpoint's report for the next heartbeat; nil for entries.
 	// Reported is called with each report and whether it arrived.
@@ -105,8 +105,8 @@
 	fn(f.view)
 }
 
-// TakeRecords applies record changes that an agent returned.
-func (f *Follower) TakeRecords(rs []state.Record) {
+// ApplyRecords applies record changes that an agent returned.
+func (f *Follower) ApplyRecords(rs []state.Record) {
 	f.mu.Lock()
 	err := f.view.ApplyRecords(rs)
 	f.mu.Unlock()
--- a/internal/app/gateway/allowances.go
+++ b/internal/app/gateway/allowances.go
@@ -42,7 +42,7 @@
 func (a *allowances) refund(name ident.Customer, cost float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.client.GiveBack(name, cost)
+	a.client.Refund(name, cost)
 	a.signalReport()
 }
 
@@ -75,7 +75,7 @@
 			return
 		case <-pause.C:
 		}
-		pause.Reset(allowance.ReportEvery)
+		pause.Reset(allowance.ReportInterval)
 		a.report(ctx)
 	}
 }
@@ -122,7 +122,7 @@
 	if c == nil || !c.Allowance.Limited() {
 		return true
 	}
-	x.cost = c.Allowance.Cost(x.info.Tokens, x.info.Sized)
+	x.cost = c.Allowance.Cost(x.info.Tokens, x.info.HasTokens)
 	x.decision = x.g.allowances.admit(c, x.cost)
 	x.g.metrics.countAllowance(c.Name, x.decision)
 	return x.decision.Admitted
--- a/internal/app/gateway/allowances_test.go
+++ b/internal/app/gateway/allowances_test.go
@@ -63,7 +63,7 @@
 	t.Helper()
 	l := &allowanceLeader{alloc: allowance.NewAllocator(allowance.Tolerance{})}
 	l.alloc.SetLimits(time.Now().Add(-time.Hour), []allowance.Limit{{Customer: "a", Rate: rate, Burst: burst}})
-	srv, err := rpc.Listen("127.0.0.1:0", rpc.Security{}, &rpc.Counter{}, l.handle, func(*rpc.Conn) {}, func(string, error) {})
+	srv, err := rpc.Listen("127.0.0.1:0", rpc.Security{}, &rpc.ByteCounter{}, l.handle, func(*rpc.Conn) {}, func(string, error) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,7 +119,7 @@
 	b := newFakeEndpoint(t, answerOK)
 	g, l := startLimited(t, 0.001, 100, b)
 	is.Equal(dial(t, g).ask("GET", "/safe/x", "r1", "", "Key: k1", "Model: none", "Left: 200").status, 503)
-	time.Sleep(3 * allowance.ReportEvery)
+	time.Sleep(3 * allowance.ReportInterval)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	st := l.alloc.Status(time.Now())[0]
--- a/internal/app/gateway/attempt.go
+++ b/internal/app/gateway/attempt.go
@@ -40,17 +40,17 @@
 		if ctx.Err() != nil {
 			return result{notRun: true, notSent: true, outcome: abandoned}
 		}
-		if errors.Is(err, http1.ErrFull) {
+		if errors.Is(err, http1.ErrConnLimit) {
 			return result{notRun: true, notSent: true, outcome: full}
 		}
 		x.g.cfg.Log.Info().Str("request", x.info.ID).Str("endpoint", string(e.ID)).Err(err).Msg("endpoint_not_reached")
 		return result{notRun: true, notSent: true, outcome: notConnected}
 	}
-	cc.Bind(ctx)
+	cc.AbortOn(ctx)
 	x.logSent(e, cc)
 	h := http1.EndToEnd(x.r.Header)
-	x.g.cfg.Dialect.Write(h, Sending{Left: time.Until(x.deadline), Endpoint: e.Name(), Priority: x.requester.priority(x.route), LastEvent: x.lastEvent,
-		Keyed: x.requester.keyed, Customer: x.requester.customerName()})
+	x.g.cfg.Dialect.WriteRequest(h, ForwardFields{TimeLeft: time.Until(x.deadline), Endpoint: e.Name(), Priority: x.requester.priority(x.route), LastEvent: x.lastEvent,
+		Authenticated: x.requester.keyed, Customer: x.requester.customerName()})
 	sent := time.Now()
 	cc.Send(x.r.Method, x.r.Target, x.r.Host, h, x.r.Body)
 	resp, v, err := x.receive(cc, e)
@@ -66,7 +66,7 @@
 	x.g.dir.recordLoad(e, v)
 	if v.NotRun {
 		x.drainBody(resp)
-		x.g.cfg.Log.Info().Str("request", x.info.ID).Str("endpoint", string(e.ID)).Int("status", resp.Status).Bool("lacks", v.Lacks).Bool("moved", v.Moved).Msg("endpoint_did_not_run")
+		x.g.cfg.Log.Info().Str("request", x.info.ID).Str("endpoint", string(e.ID)).Int("status", resp.Status).Bool("lacks", v.ModelMissing).Bool("moved", v.WrongEndpoint).Msg("endpoint_did_not_run")
 		return notRunResult(v)
 	}
 	if x.firstByte == 0 {
@@ -90,13 +90,13 @@
 
 // receive reads the head of the answer to this request. Answers to other
 // requests, which a faulty endpoint may send late, are skipped.
-func (x *exchange) receive(cc *http1.ClientConn, e *endpoint) (*http1.Response, Verdict, error) {
+func (x *exchange) receive(cc *http1.ClientConn, e *endpoint) (*http1.Response, AnswerFields, error) {
 	for range maxStrayAnswers {
 		resp, err := cc.Receive(x.r.Method)
 		if err != nil {
-			return nil, Verdict{}, err
+			return nil, AnswerFields{}, err
 		}
-		v := x.g.cfg.Dialect.Judge(e.Name(), resp.Status, resp.Header)
+		v := x.g.cfg.Dialect.ReadAnswer(e.Name(), resp.Status, resp.Header)
 		if v.ID == x.info.ID {
 			return resp, v, nil
 		}
@@ -104,17 +104,17 @@
 			break
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			return nil, Verdict{}, err
+			return nil, AnswerFields{}, err
 		}
 	}
-	return nil, Verdict{}, errors.New("the endpoint answered another request")
+	return nil, AnswerFields{}, errors.New("the endpoint answered another request")
 }
 
-func notRunResult(v Verdict) result {
+func notRunResult(v AnswerFields) result {
 	switch {
-	case v.Moved:
+	case v.WrongEndpoint:
 		return result{notRun: true, outcome: wrongEndpoint}
-	case v.Lacks:
+	case v.ModelMissing:
 		return result{notRun: true, outcome: modelMissing}
 	}
 	return result{notRun: true, outcome: full}
@@ -151,10 +151,10 @@
 // drainBody reads a short body to its end, so that the connection can be kept.
 func (x *exchange) drainBody(resp *http1.Response) {
 	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBufferedBody)); err != nil {
-		resp.Drop()
+		resp.Abort()
 		return
 	}
-	resp.Done()
+	resp.Release()
 }
 
 // forwardAnswer forwards an answer. An error means that it is incomplete.
@@ -178,7 +178,7 @@
 		return x.forwardLarge(resp, body)
 	}
 	x.recordAnswer(resp.Framed)
-	resp.Done()
+	resp.Release()
 	if resp.Status >= http.StatusInternalServerError && x.route.MayRepeat() {
 		x.endpointFailure = &answer{resp.Status, resp.Header, body}
 		return result{outcome: failed}, nil
@@ -198,12 +198,12 @@
 func (x *exchange) forwardLarge(resp *http1.Response, first []byte) (result, error) {
 	err := x.writeHead(resp)
 	if err == nil {
-		err = x.c.Part(first)
+		err = x.c.WriteBody(first)
 	}
 	if err != nil {
 		// The caller has left. Once dropped, the connection no longer counts
 		// towards the endpoint's limit.
-		resp.Drop()
+		resp.Abort()
 		return result{outcome: abandoned, final: true}, nil
 	}
 	return x.forwardBody(resp)
@@ -211,7 +211,7 @@
 
 func (x *exchange) writeHead(resp *http1.Response) error {
 	x.headSent = true
-	return x.c.Begin(resp.Status, resp.Header, x.r.Minor)
+	return x.c.WriteHead(resp.Status, resp.Header, x.r.Minor)
 }
 
 // forwardBody forwards the rest of a body as it arrives.
@@ -222,8 +222,8 @@
 		n, err := resp.Body.Read(buf)
 		last = x.g.metrics.observeGap(last)
 		x.eventsSent += bytes.Count(buf[:n], eventEnd)
-		if werr := x.c.Part(buf[:n]); werr != nil {
-			resp.Drop()
+		if werr := x.c.WriteBody(buf[:n]); werr != nil {
+			resp.Abort()
 			return result{outcome: abandoned, final: true}, nil
 		}
 		if errors.Is(err, io.EOF) {
@@ -234,8 +234,8 @@
 		}
 	}
 	x.recordAnswer(resp.Framed)
-	resp.Done()
-	if err := x.c.End(); err != nil {
+	resp.Release()
+	if err := x.c.EndBody(); err != nil {
 		return result{outcome: abandoned, final: true}, nil
 	}
 	return result{complete: true, outcome: succeeded}, nil
--- a/internal/app/gateway/demand.go
+++ b/internal/app/gateway/demand.go
@@ -82,7 +82,7 @@
 	defer d.mu.Unlock()
 	var out []fleet.Demand
 	for w, x := range d.byWant {
-		dm := fleet.Demand{Want: w, Arrived: x.arrived, Away: x.deferred}
+		dm := fleet.Demand{Want: w, Arrived: x.arrived, Refused: x.deferred}
 		x.arrived, x.deferred = 0, 0
 		for ex, at := range x.since {
 			dm.Add(now.Sub(at), ex.deadline.Sub(now), ex.arrived.Add(ex.route.Objective).Sub(now))
--- a/internal/app/gateway/directory.go
+++ b/internal/app/gateway/directory.go
@@ -76,7 +76,7 @@
 // merge applies a complete list of endpoints. Those that are not listed are removed.
 func (d *directory) merge(eps []fleet.Endpoint, models bool) {
 	listed := make(map[fleet.EndpointID]bool, len(eps))
-	for _, ep := range fleet.Latest(eps, d.incarnations()) {
+	for _, ep := range fleet.LatestIncarnations(eps, d.incarnations()) {
 		listed[ep.ID] = true
 		d.upsert(ep, models)
 	}
@@ -92,7 +92,7 @@
 func (d *directory) incarnations() map[string]fleet.Endpoint {
 	out := make(map[string]fleet.Endpoint, len(d.byID))
 	for _, e := range d.byID {
-		if o, known := out[e.Name()]; !known || o.Born < e.Born {
+		if o, known := out[e.Name()]; !known || o.StartedAt < e.StartedAt {
 			out[e.Name()] = e.Endpoint
 		}
 	}
@@ -118,7 +118,7 @@
 	}
 	// The fields that identify an incarnation do not change: requests in progress read
 	// them without the lock.
-	e.Born, e.Slots, e.Leaving, e.Held, e.Copies = ep.Born, ep.Slots, ep.Leaving, ep.Held, ep.Copies
+	e.StartedAt, e.Slots, e.Leaving, e.Held, e.Copies = ep.StartedAt, ep.Slots, ep.Leaving, ep.Held, ep.Copies
 	clear(e.missingAt)
 }
 
@@ -356,8 +356,8 @@
 }
 
 // recordLoad applies the load that an endpoint reported with an answer.
-func (d *directory) recordLoad(e *endpoint, v Verdict) {
-	if !v.Measured {
+func (d *directory) recordLoad(e *endpoint, v AnswerFields) {
+	if !v.HasLoad {
 		return
 	}
 	d.mu.Lock()
@@ -376,7 +376,7 @@
 	var out []fleet.Use
 	for id, e := range d.byID {
 		for w, r := range e.counts {
-			out = append(out, fleet.Use{Endpoint: id, Want: w, Running: r.running, Begun: r.started, Missing: !e.missingAt[w].IsZero()})
+			out = append(out, fleet.Use{Endpoint: id, Want: w, Running: r.running, Sent: r.started, Missing: !e.missingAt[w].IsZero()})
 			r.started = 0
 			if r.running == 0 {
 				delete(e.counts, w)
--- a/internal/app/gateway/eta_test.go
+++ b/internal/app/gateway/eta_test.go
@@ -33,7 +33,7 @@
 	is.True(after > 12.5 && after < 15)
 	var away int
 	for _, d := range g.demands.report(time.Now()) {
-		away += d.Away
+		away += d.Refused
 	}
 	is.Equal(away, 1) // the leader receives a report that it was requested
 }
--- a/internal/app/gateway/exchange.go
+++ b/internal/app/gateway/exchange.go
@@ -33,7 +33,7 @@
 	g         *Gateway
 	c         *http1.Conn
 	r         *http1.Request
-	info      Ask
+	info      RequestFields
 	route     *deploy.Route
 	requester requester
 	cost      float64            // units taken from the customer's allowance
@@ -70,7 +70,7 @@
 // for another one.
 func (g *Gateway) handle(c *http1.Conn, r *http1.Request) bool {
 	x := &exchange{g: g, c: c, r: r, arrived: time.Now(), tried: map[fleet.EndpointID]bool{}}
-	info, err := g.cfg.Dialect.Read(r.Header)
+	info, err := g.cfg.Dialect.ReadRequest(r.Header)
 	x.info = info
 	t, cause := x.deployment()
 	switch {
@@ -88,7 +88,7 @@
 	if !x.identify(t) {
 		return x.rejectCaller()
 	}
-	if g.cannotFinishBeforeStop(x.route, info.Output) {
+	if g.cannotFinishBeforeStop(x.route, info.MaxOutput) {
 		c.CloseAfter()
 		x.reason = reasonStopping
 		return x.refuse(http.StatusServiceUnavailable, "stopping")
@@ -102,8 +102,8 @@
 	x.service = x.route.Pick(info.ID)
 	x.lastEvent = info.LastEvent
 	left := x.route.Timeout
-	if info.Left > 0 {
-		left = min(left, info.Left)
+	if info.TimeLeft > 0 {
+		left = min(left, info.TimeLeft)
 	}
 	x.deadline = x.arrived.Add(left)
 	ctx, cancel := context.WithDeadline(g.ctx, x.deadline)
@@ -224,7 +224,7 @@
 	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	for {
-		if x.g.cannotFinishBeforeStop(x.route, x.info.Output) {
+		if x.g.cannotFinishBeforeStop(x.route, x.info.MaxOutput) {
 			// The answer to a request sent now could not end before the process stops.
 			x.reason = reasonStopping
 			return nil
@@ -269,12 +269,12 @@
 // request may wait no longer.
 func (x *exchange) loadsTooLate(maxWait time.Duration) bool {
 	x.modelETA = x.g.dir.modelETA(time.Now(), x.info.Want.Model)
-	return x.modelETA > 0 && !fleet.Comes(x.modelETA, maxWait)
+	return x.modelETA > 0 && !fleet.ReadyInTime(x.modelETA, maxWait)
 }
 
 // maxWait returns how long the request may wait for an endpoint from now on.
 func (x *exchange) maxWait(now time.Time) time.Duration {
-	return fleet.Hold(x.deadline.Sub(now), x.route.Patience, now.Sub(x.arrived))
+	return fleet.MaxWait(x.deadline.Sub(now), x.route.SilenceLimit, now.Sub(x.arrived))
 }
 
 // finish sends the final answer, if one is still to be sent.
@@ -310,14 +310,14 @@
 
 // refuse answers that the request has not run, and when to retry.
 func (x *exchange) refuse(status int, event string) bool {
-	after := fleet.ComeBack(rand.Int64N)
+	after := fleet.RetryAfter(rand.Int64N)
 	switch x.reason {
 	case reasonLoadedLate:
-		after = fleet.ComeBackAt(x.modelETA, rand.Int64N)
+		after = fleet.RetryAfterReady(x.modelETA, rand.Int64N)
 	case reasonQuarantined:
 		after = x.standing().Left
 	case reasonOverAllowance, reasonAllowanceUnknown:
-		after = x.decision.After
+		after = x.decision.RetryAfter
 	case reasonStopping:
 		after = 0 // other entries accept it at once
 	}
@@ -365,7 +365,7 @@
 	}
 	if x.reason == reasonOverAllowance || x.reason == reasonAllowanceUnknown {
 		d := x.decision
-		ev.Float64("cost", x.cost).Float64("rate", x.requester.customer.Allowance.Rate).Float64("chance", d.Chance).Float64("pressure", d.Pressure).Dur("age", d.Age).Bool("silent", d.Silent).Dur("after", d.After)
+		ev.Float64("cost", x.cost).Float64("rate", x.requester.customer.Allowance.Rate).Float64("chance", d.Chance).Float64("pressure", d.Pressure).Dur("age", d.Age).Bool("silent", d.Silent).Dur("after", d.RetryAfter)
 	}
 	if x.reason == reasonQuarantined {
 		ev.Stringer("fingerprint", x.fp)
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -39,10 +39,10 @@
 	// RetryShare and RetrySlack define the deployment's retry budget.
 	RetryShare float64
 	RetrySlack float64
-	// CutRevoked aborts running requests whose key is revoked; otherwise they continue,
+	// AbortRevoked aborts running requests whose key is revoked; otherwise they continue,
 	// and only requests that were not sent yet are refused.
-	CutRevoked bool
-	Log        zerolog.Logger
+	AbortRevoked bool
+	Log          zerolog.Logger
 }
 
 // Gateway is a running entry.
@@ -93,7 +93,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &Gateway{
 		cfg: cfg, listener: l, pool: http1.NewPool(dialTimeout), dir: newDirectory(cfg.Zone, cfg.Log), demands: newDemands(), liveness: newLivenessChecker(), suspects: newSuspects(),
-		revocations: newRevocations(cfg.CutRevoked), startedAt: time.Now(), firstDeployment: make(chan struct{}), ctx: ctx, cancel: cancel, conns: map[*http1.Conn]bool{}, budgets: map[string]*limit.Shared{},
+		revocations: newRevocations(cfg.AbortRevoked), startedAt: time.Now(), firstDeployment: make(chan struct{}), ctx: ctx, cancel: cancel, conns: map[*http1.Conn]bool{}, budgets: map[string]*limit.Shared{},
 	}
 	g.pace.perToken = initialPace
 	g.dir.onRemoved = func(e fleet.EndpointID, planned bool) { g.suspects.endpointRemoved(time.Now(), e, planned) }
@@ -179,7 +179,7 @@
 		g.budgets[service] = b
 	}
 	if n := int(g.entries.Load()); n > 0 {
-		b.SetNodes(n)
+		b.SetProcesses(n)
 	}
 	return f(b)
 }
--- a/internal/app/gateway/harness_test.go
+++ b/internal/app/gateway/harness_test.go
@@ -24,28 +24,28 @@
 // testDialect uses short field names.
 type testDialect struct{}
 
-func (testDialect) Read(h http.Header) (Ask, error) {
-	a := Ask{ID: h.Get("Id"), LastEvent: h.Get("Last-Event-Id")}
+func (testDialect) ReadRequest(h http.Header) (RequestFields, error) {
+	a := RequestFields{ID: h.Get("Id"), LastEvent: h.Get("Last-Event-Id")}
 	if a.ID == "" {
 		return a, errors.New("Id is missing")
 	}
 	if ms, err := strconv.Atoi(h.Get("Left")); err == nil {
-		a.Left = time.Duration(ms) * time.Millisecond
+		a.TimeLeft = time.Duration(ms) * time.Millisecond
 	}
 	a.Want.Model = h.Get("Model")
-	a.Output, _ = strconv.Atoi(h.Get("Output")) // 0 if not given
+	a.MaxOutput, _ = strconv.Atoi(h.Get("Output")) // 0 if not given
 	a.Tokens, _ = strconv.Atoi(h.Get("Tokens"))
-	a.Sized = h.Get("Tokens") != ""
+	a.HasTokens = h.Get("Tokens") != ""
 	keys := h.Values("Key")
-	a.Credential = customer.Credential{Key: customer.Key(h.Get("Key")), Given: len(keys) > 0, Bad: len(keys) > 1}
+	a.Credential = customer.Credential{Key: customer.Key(h.Get("Key")), Present: len(keys) > 0, Malformed: len(keys) > 1}
 	return a, nil
 }
 
-func (testDialect) Write(h http.Header, s Sending) {
-	h.Set("Left", strconv.FormatInt(s.Left.Milliseconds(), 10))
+func (testDialect) WriteRequest(h http.Header, s ForwardFields) {
+	h.Set("Left", strconv.FormatInt(s.TimeLeft.Milliseconds(), 10))
 	h.Set("Target", string(s.Endpoint))
 	h.Set("Rank", strconv.Itoa(s.Priority))
-	if s.Keyed {
+	if s.Authenticated {
 		h.Del("Key")
 		h.Set("Customer", string(s.Customer))
 	}
@@ -54,8 +54,8 @@
 	}
 }
 
-func (testDialect) Judge(_ string, status int, h http.Header) Verdict {
-	return Verdict{ID: h.Get("Id"), NotRun: h.Get("Not-Run") != "", Lacks: status == http.StatusMisdirectedRequest}
+func (testDialect) ReadAnswer(_ string, status int, h http.Header) AnswerFields {
+	return AnswerFields{ID: h.Get("Id"), NotRun: h.Get("Not-Run") != "", ModelMissing: status == http.StatusMisdirectedRequest}
 }
 
 // fakeEndpoint is an endpoint controlled by a test, on a raw socket.
--- a/internal/app/gateway/identity.go
+++ b/internal/app/gateway/identity.go
@@ -41,7 +41,7 @@
 // priority returns the priority of a request: the customer's if it has one of its own, else
 // the route's.
 func (a requester) priority(r *deploy.Route) int {
-	if a.customer != nil && a.customer.Ranked {
+	if a.customer != nil && a.customer.HasPriority {
 		return a.customer.Priority
 	}
 	return r.Priority
--- a/internal/app/gateway/identity_test.go
+++ b/internal/app/gateway/identity_test.go
@@ -20,7 +20,7 @@
 	c := testDeployment()
 	c.Version = version
 	b, err := customer.NewBook(customer.NewDigester([]byte("test")),
-		[]customer.Entry{{Customer: customer.Customer{Name: "a", Ranked: true, Priority: 3}, Keys: keys}})
+		[]customer.Entry{{Customer: customer.Customer{Name: "a", HasPriority: true, Priority: 3}, Keys: keys}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/app/gateway/metrics.go
+++ b/internal/app/gateway/metrics.go
@@ -16,7 +16,7 @@
 // metrics are the metrics of one gateway.
 type metrics struct {
 	set       *vm.Set
-	rpc       rpc.Counter
+	rpc       rpc.ByteCounter
 	duration  *vm.Histogram
 	wait      *vm.Histogram
 	firstByte *vm.Histogram
@@ -50,7 +50,7 @@
 	s.NewGauge("cassiapass_gateway_retry_budget_left", g.budgetLeft)
 	s.NewGauge("cassiapass_gateway_requests_suspect", func() float64 { n, _ := g.suspects.count(time.Now()); return float64(n) })
 	s.NewGauge("cassiapass_gateway_requests_quarantined", func() float64 { _, n := g.suspects.count(time.Now()); return float64(n) })
-	opshttp.CountBytes(s, &m.rpc)
+	opshttp.RegisterByteCounters(s, &m.rpc)
 	return m
 }
 
--- a/internal/app/gateway/requests_test.go
+++ b/internal/app/gateway/requests_test.go
@@ -354,7 +354,7 @@
 	is := is.New(t)
 	g := startGateway(t, newFakeEndpoint(t, answerOK))
 	g.table.Load().Config().Routes[2].Timeout = 12 * time.Second
-	g.table.Load().Config().Routes[2].Patience = time.Second
+	g.table.Load().Config().Routes[2].SilenceLimit = time.Second
 	begin := time.Now()
 	a := dial(t, g).ask("POST", "/stream/", "r1", "x", "Model: rare", "Left: 12000")
 	took := time.Since(begin)
--- a/internal/app/gateway/starting.go
+++ b/internal/app/gateway/starting.go
@@ -22,8 +22,8 @@
 		return t, nil
 	}
 	wait := startupWait - time.Since(x.g.startedAt)
-	if x.info.Left > 0 {
-		wait = min(wait, fleet.Hold(x.info.Left, 0, 0))
+	if x.info.TimeLeft > 0 {
+		wait = min(wait, fleet.MaxWait(x.info.TimeLeft, 0, 0))
 	}
 	if wait <= 0 || x.g.draining.Load() {
 		return nil, nil
--- a/internal/app/gateway/stream.go
+++ b/internal/app/gateway/stream.go
@@ -22,7 +22,7 @@
 // event before it would corrupt the stream.
 func (x *exchange) forwardStream(resp *http1.Response) (result, error) {
 	if err := x.writeHead(resp); err != nil {
-		resp.Drop()
+		resp.Abort()
 		return result{outcome: abandoned, final: true}, nil
 	}
 	if !x.route.Resumable {
@@ -52,7 +52,7 @@
 		whole := wholeEventsLen(rest)
 		x.eventsSent += bytes.Count(rest[:whole], eventEnd)
 		if werr := x.writeEvents(rest[:whole]); werr != nil {
-			resp.Drop()
+			resp.Abort()
 			return result{outcome: abandoned, final: true}, nil
 		}
 		rest = append(rest[:0], rest[whole:]...)
@@ -61,8 +61,8 @@
 			return result{}, errors.New("the stream ended within an event")
 		case errors.Is(err, io.EOF):
 			x.recordAnswer(resp.Framed)
-			resp.Done()
-			if x.c.End() != nil {
+			resp.Release()
+			if x.c.EndBody() != nil {
 				return result{outcome: abandoned, final: true}, nil
 			}
 			return result{complete: true, outcome: succeeded}, nil
@@ -93,7 +93,7 @@
 		}
 		out = append(out, event...)
 	}
-	return x.c.Part(out)
+	return x.c.WriteBody(out)
 }
 
 // wholeEventsLen returns the length of the whole events at the start of b.
--- a/internal/app/gateway/suspects.go
+++ b/internal/app/gateway/suspects.go
@@ -90,7 +90,7 @@
 	if s.answered.Has(now, f) {
 		return
 	}
-	e := poison.End{Request: f, Start: string(id), Cold: s.answered.Cold(now)}
+	e := poison.End{Request: f, Incarnation: string(id), Cold: s.answered.Cold(now)}
 	if isNew, _ := s.own.Ended(now, e); !isNew {
 		return
 	}
@@ -194,8 +194,8 @@
 	if all || s.resend {
 		ends = nil
 		for _, c := range s.own.Cases() {
-			for _, start := range c.Starts {
-				ends = append(ends, poison.End{Request: c.Request, Start: start, Cold: s.answered.Cold(now)})
+			for _, start := range c.Incarnations {
+				ends = append(ends, poison.End{Request: c.Request, Incarnation: start, Cold: s.answered.Cold(now)})
 			}
 		}
 	}
--- a/internal/app/gateway/suspects_test.go
+++ b/internal/app/gateway/suspects_test.go
@@ -19,7 +19,7 @@
 func closeConnection(*bufio.Reader, net.Conn, *http.Request, []byte) bool { return false }
 
 // publishSuspects gives a gateway a key and cases, as a leader's answer does.
-func publishSuspects(g *Gateway, term uint64, cases ...poison.Told) {
+func publishSuspects(g *Gateway, term uint64, cases ...poison.Update) {
 	g.suspects.merge(time.Now(), wire.Suspects{Mark: wire.SuspectMark{Term: term, Rev: 1}, Key: poison.Key("k"), Told: cases})
 }
 
@@ -108,7 +108,7 @@
 	is.Equal(s.standing(now, f), poison.Standing{})
 	// Another entry, at which none was answered, made the leader quarantine it: this one reports
 	// it as cleared.
-	s.merge(now, wire.Suspects{Mark: wire.SuspectMark{Term: 1, Rev: 1}, Told: []poison.Told{{Request: f, Ends: 3, Left: time.Minute}}})
+	s.merge(now, wire.Suspects{Mark: wire.SuspectMark{Term: 1, Rev: 1}, Told: []poison.Update{{Request: f, Ends: 3, Left: time.Minute}}})
 	is.Equal(s.standing(now, f), poison.Standing{})
 	_, cleared := s.report(now, false)
 	is.Equal(cleared, []poison.Fingerprint{f})
@@ -132,8 +132,8 @@
 	news.Mark.Term = 2
 	s.merge(now, news)
 	ends, _ = s.report(now, false)
-	is.Equal(ends, []poison.End{{Request: f, Start: "e0", Cold: true}})
-	news.Mark.Rev, news.Told = 2, []poison.Told{{Request: f}}
+	is.Equal(ends, []poison.End{{Request: f, Incarnation: "e0", Cold: true}})
+	news.Mark.Rev, news.Told = 2, []poison.Update{{Request: f}}
 	s.merge(now, news)
 	is.Equal(s.standing(now, f), poison.Standing{})
 }
@@ -147,7 +147,7 @@
 	c := dial(t, g)
 	c.send("POST", "/stream/x", "r", "body", "Model: cold")
 	time.Sleep(50 * time.Millisecond)
-	publishSuspects(g, 1, poison.Told{Request: fingerprintOf("POST", "/stream/x", "body"), Ends: 3, Left: 90 * time.Second})
+	publishSuspects(g, 1, poison.Update{Request: fingerprintOf("POST", "/stream/x", "body"), Ends: 3, Left: 90 * time.Second})
 	g.dir.wake()
 	begin := time.Now()
 	a := c.receive()
--- a/internal/app/gateway/syncer.go
+++ b/internal/app/gateway/syncer.go
@@ -400,7 +400,7 @@
 			continue
 		}
 		switch err := s.readList(ctx); {
-		case errors.Is(err, fleet.ErrTooOften):
+		case errors.Is(err, fleet.ErrRateLimited):
 			refused++
 		case err == nil:
 			refused = 0
--- a/internal/app/gateway/syncer_test.go
+++ b/internal/app/gateway/syncer_test.go
@@ -30,7 +30,7 @@
 func newTestLeader(t *testing.T) *testLeader {
 	t.Helper()
 	l := &testLeader{}
-	srv, err := rpc.Listen("127.0.0.1:0", rpc.Security{}, &rpc.Counter{}, l.handle, nil, nil)
+	srv, err := rpc.Listen("127.0.0.1:0", rpc.Security{}, &rpc.ByteCounter{}, l.handle, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +108,7 @@
 		cfg.ListRate, cfg.ListPage = 47, 50
 		cfg.List = func(context.Context) (fleet.Listing, error) {
 			n.Add(1)
-			return fleet.Listing{}, fleet.ErrTooOften
+			return fleet.Listing{}, fleet.ErrRateLimited
 		}
 		g, err := New(cfg)
 		if err != nil {
@@ -198,7 +198,7 @@
 	is.NoErr(err)
 	t.Cleanup(func() { _ = silent.Close() })
 	l := &testLeader{}
-	l.srv, err = rpc.Listen("127.0.0.1:0", key, &rpc.Counter{}, l.handle, nil, nil)
+	l.srv, err = rpc.Listen("127.0.0.1:0", key, &rpc.ByteCounter{}, l.handle, nil, nil)
 	is.NoErr(err)
 	t.Cleanup(l.srv.Close)
 	cfg := testConfig()
--- a/internal/app/gateway/update.go
+++ b/internal/app/gateway/update.go
@@ -20,7 +20,7 @@
 	var n pullUpdate
 	if len(r.Packed) > 0 {
 		var eps []fleet.Endpoint
-		if err := wire.Unpack(r.Packed, &eps); err != nil {
+		if err := wire.Decompress(r.Packed, &eps); err != nil {
 			return n, err
 		}
 		r.Endpoints = &eps
@@ -34,5 +34,5 @@
 		return n, nil
 	}
 	n.deployment = &state.Deployment{}
-	return n, wire.Unpack(r.Deployment, n.deployment)
+	return n, wire.Decompress(r.Deployment, n.deployment)
 }
--- a/internal/app/lab/allowances/production.go
+++ b/internal/app/lab/allowances/production.go
@@ -62,10 +62,10 @@
 func (g *production) step() {
 	for i, c := range g.clients {
 		if g.w.reachesLeader(i) {
-			g.leader.Heard(g.w.now, strconv.Itoa(i), g.w.entries)
+			g.leader.Seen(g.w.now, strconv.Itoa(i), g.w.entries)
 			c.Reached()
 		}
-		if !g.reporting[i] && g.w.now.Sub(g.reportedAt[i]) >= allowance.ReportEvery && c.Pending() {
+		if !g.reporting[i] && g.w.now.Sub(g.reportedAt[i]) >= allowance.ReportInterval && c.Pending() {
 			g.reportedAt[i] = g.w.now
 			g.report(i)
 		}
--- a/internal/app/lab/bound.go
+++ b/internal/app/lab/bound.go
@@ -12,7 +12,7 @@
 // an upper bound on what any policy can earn is computed.
 func (s *Site) Problem(seed uint64) bound.Problem {
 	x := newRunner(s, Policy{}, seed)
-	p := bound.Problem{Engines: s.Engines, Megabytes: s.Spec.Weights, Begin: -leadTime, End: s.end(), Unload: unloadDuration}
+	p := bound.Problem{Engines: s.Engines, Megabytes: s.Spec.ModelMegabytes, Begin: -leadTime, End: s.end(), Unload: unloadDuration}
 	if s.ReplaceInterval > 0 {
 		p.Unload = 0 // a model also leaves memory when its engine is replaced
 	}
@@ -24,13 +24,13 @@
 			runs = 0 // running requests may be cut off
 		}
 		byModel[r.want.Model] = append(byModel[r.want.Model], bound.Request{
-			From: r.firstArrived, InTime: r.firstArrived + r.class.Objective - ready, Late: r.firstArrived + r.class.Limit - ready, Runs: runs, Worth: r.class.Value, Little: r.class.LateValue,
+			From: r.firstArrived, InTime: r.firstArrived + r.class.Objective - ready, Late: r.firstArrived + r.class.Limit - ready, Runs: runs, Value: r.class.Value, LateValue: r.class.LateValue,
 		})
 	}
 	for _, name := range s.Names {
 		m := s.Spec.Models[name]
 		held, first := x.initialState(name)
-		p.Models = append(p.Models, bound.Model{Name: name, Megabytes: m.Megabytes, First: first, Again: min(first, m.FromMemory), Held: held, Requests: byModel[name]})
+		p.Models = append(p.Models, bound.Model{Name: name, Megabytes: m.Megabytes, FirstLoad: first, Reload: min(first, m.FromMemory), Held: held, Requests: byModel[name]})
 	}
 	return p
 }
@@ -104,5 +104,5 @@
 	}
 	p.OnDemand = true
 	onDemand, err := bound.Solve(p, guide, bound.DefaultSettings())
-	return UpperBound{Ahead: ahead.Most / ahead.Total, OnDemand: onDemand.Most / onDemand.Total}, err
+	return UpperBound{Ahead: ahead.Bound / ahead.Total, OnDemand: onDemand.Bound / onDemand.Total}, err
 }
--- a/internal/app/lab/bound_test.go
+++ b/internal/app/lab/bound_test.go
@@ -39,8 +39,8 @@
 			if p.AllModels {
 				continue // no engine can hold that
 			}
-			if got := Run(site, p, seed).earned(); got > r.Most/r.Total {
-				t.Errorf("%s: %s earns %.4f, at most %.4f", name, p.Name, got, r.Most/r.Total)
+			if got := Run(site, p, seed).earned(); got > r.Bound/r.Total {
+				t.Errorf("%s: %s earns %.4f, at most %.4f", name, p.Name, got, r.Bound/r.Total)
 			}
 		}
 	}
--- a/internal/app/lab/engine.go
+++ b/internal/app/lab/engine.go
@@ -54,7 +54,7 @@
 	e.order = &runningOrder{Order: o, doneAt: now + unloadDuration}
 	if o.Op == fleet.Load {
 		e.order.doneAt = now + e.loadTime(now, o.Want.Model, store)
-		e.overcommitted = e.overcommitted || e.heldMegabytes()+e.spec.Models[o.Want.Model].Megabytes > e.spec.Weights
+		e.overcommitted = e.overcommitted || e.heldMegabytes()+e.spec.Models[o.Want.Model].Megabytes > e.spec.ModelMegabytes
 	}
 	return fleet.Accepted
 }
@@ -74,7 +74,7 @@
 	for _, as := range e.held {
 		adapterCount += len(as)
 	}
-	e.overcommitted = e.overcommitted || adapterCount > e.spec.AdapterPlaces
+	e.overcommitted = e.overcommitted || adapterCount > e.spec.AdapterSlots
 	return fleet.Accepted
 }
 
--- a/internal/app/lab/lab_test.go
+++ b/internal/app/lab/lab_test.go
@@ -21,7 +21,7 @@
 		{Name: "chat", Rate: 8, LastModel: 2, Skew: 1, Adapters: 0.3, Objective: 300 * time.Millisecond, Limit: 12 * time.Second, SilenceLimit: 2 * time.Second, Prompt: 800, Output: 290, Value: 2, LateValue: 1, Priority: 1},
 		{Name: "review", Rate: 4, FirstModel: 3, LastModel: 24, Objective: 2 * time.Second, Limit: 20 * time.Second, SilenceLimit: 8 * time.Second, Prompt: 800, Output: 290, Value: 8, LateValue: 1.3},
 	}}
-	s.Spec = &deploy.Engine{Slots: 32, Weights: 83000, AdapterPlaces: 8, StoreLoads: 10}
+	s.Spec = &deploy.Engine{Slots: 32, ModelMegabytes: 83000, AdapterSlots: 8, StoreLoads: 10}
 	return s.complete(25, 1)
 }
 
--- a/internal/app/lab/load.go
+++ b/internal/app/lab/load.go
@@ -65,7 +65,7 @@
 			{Name: "reg-summary", Rate: 12.5, FirstModel: 5, LastModel: 95, Objective: 2 * time.Second, Limit: 20 * time.Second, SilenceLimit: 8 * time.Second, Prompt: 826, Output: 292, Value: 8.4, LateValue: 1.3, Priority: 1},
 			{Name: "fault-class", Rate: 10.2, LastModel: 4, Skew: 1, Adapters: 0.5, Objective: 400 * time.Millisecond, Limit: 3 * time.Second, SilenceLimit: 2 * time.Second, Prompt: 2368, Output: 23, Value: 2.6, LateValue: 0.77},
 		}}
-	s.Spec = &deploy.Engine{Slots: 32, Weights: 83000, AdapterPlaces: 8, StoreLoads: 10}
+	s.Spec = &deploy.Engine{Slots: 32, ModelMegabytes: 83000, AdapterSlots: 8, StoreLoads: 10}
 	return s.complete(96, load)
 }
 
@@ -78,7 +78,7 @@
 			{Name: "inspector-review", Rate: 8.37, FirstModel: 5, LastModel: 64, Objective: 2 * time.Second, Limit: 20 * time.Second, SilenceLimit: 8 * time.Second, Prompt: 826, Output: 292, Value: 11, LateValue: 1.6},
 			{Name: "fee-classify", Rate: 6.96, LastModel: 4, Skew: 1, Adapters: 0.5, Objective: 400 * time.Millisecond, Limit: 3 * time.Second, SilenceLimit: 2 * time.Second, Prompt: 2368, Output: 23, Value: 1.3, LateValue: 0.63, Priority: 2},
 		}}
-	s.Spec = &deploy.Engine{Slots: 64, Weights: 83000, AdapterPlaces: 8, StoreLoads: 6.8}
+	s.Spec = &deploy.Engine{Slots: 64, ModelMegabytes: 83000, AdapterSlots: 8, StoreLoads: 6.8}
 	return s.complete(65, load)
 }
 
--- a/internal/app/lab/policy.go
+++ b/internal/app/lab/policy.go
@@ -24,11 +24,11 @@
 	single := inUse
 	single.ReplicaShare, single.RatePerReplica, single.Crowded = 0, 1e9, 1e9
 	patient := inUse
-	patient.IdleModel = 2 * time.Second
+	patient.ModelIdleTime = 2 * time.Second
 	urgency := inUse
 	urgency.ByUrgency = true
 	noHeadroom := inUse
-	noHeadroom.RoomAhead = 0
+	noHeadroom.Headroom = 0
 	return []Policy{
 		{Name: "in-use", Description: "the planner's settings", Plan: inUse},
 		{Name: "by-urgency", Description: "waiting requests in order of the time they have left", Plan: urgency},
--- a/internal/app/lab/recorded.go
+++ b/internal/app/lab/recorded.go
@@ -73,7 +73,7 @@
 			return p, oops.Errorf("model %q is listed twice", m.Name)
 		}
 		at[m.Name] = i
-		p.Models = append(p.Models, bound.Model{Name: m.Name, Megabytes: m.Megabytes, First: fromSeconds(m.First), Again: fromSeconds(m.Again), Held: m.Held})
+		p.Models = append(p.Models, bound.Model{Name: m.Name, Megabytes: m.Megabytes, FirstLoad: fromSeconds(m.First), Reload: fromSeconds(m.Again), Held: m.Held})
 	}
 	for i, q := range r.Requests {
 		k, known := at[q.Model]
@@ -81,7 +81,7 @@
 			return p, oops.Errorf("request %d: model %q is not listed", i, q.Model)
 		}
 		p.Models[k].Requests = append(p.Models[k].Requests, bound.Request{
-			From: fromSeconds(q.At), InTime: fromSeconds(q.InTime), Late: fromSeconds(q.Late), Runs: fromSeconds(q.Runs), Worth: q.Worth, Little: q.Little})
+			From: fromSeconds(q.At), InTime: fromSeconds(q.InTime), Late: fromSeconds(q.Late), Runs: fromSeconds(q.Runs), Value: q.Worth, LateValue: q.Little})
 	}
 	return p, nil
 }
@@ -92,9 +92,9 @@
 func newRecording(p bound.Problem) recording {
 	r := recording{Engines: p.Engines, Megabytes: p.Megabytes, Begin: p.Begin.Seconds(), End: p.End.Seconds(), Unload: p.Unload.Seconds()}
 	for _, m := range p.Models {
-		r.Models = append(r.Models, recordedModel{m.Name, m.Megabytes, m.First.Seconds(), m.Again.Seconds(), m.Held})
+		r.Models = append(r.Models, recordedModel{m.Name, m.Megabytes, m.FirstLoad.Seconds(), m.Reload.Seconds(), m.Held})
 		for _, q := range m.Requests {
-			r.Requests = append(r.Requests, recordedRequest{m.Name, q.From.Seconds(), q.InTime.Seconds(), q.Late.Seconds(), q.Runs.Seconds(), q.Worth, q.Little})
+			r.Requests = append(r.Requests, recordedRequest{m.Name, q.From.Seconds(), q.InTime.Seconds(), q.Late.Seconds(), q.Runs.Seconds(), q.Value, q.LateValue})
 		}
 	}
 	return r
@@ -126,7 +126,7 @@
 			what = "models loaded when a request waits"
 		}
 		if _, err := fmt.Fprintf(out, "%s: at most %.3f of %.3f (%.1f %%); price of memory %.3f, of order time %.3f\n",
-			what, r.Most, r.Total, 100*r.Most/r.Total, r.Memory, r.Orders); err != nil {
+			what, r.Bound, r.Total, 100*r.Bound/r.Total, r.Memory, r.Orders); err != nil {
 			return err
 		}
 	}
--- a/internal/app/lab/run.go
+++ b/internal/app/lab/run.go
@@ -104,7 +104,7 @@
 			e.disk[x.site.Names[m]] = true
 		}
 		for _, name := range append([]string{x.site.Names[i%2]}, x.names(order[i*2:min(len(order), i*2+3)])...) {
-			if e.held[name] == nil && e.heldMegabytes()+x.site.Spec.Models[name].Megabytes+400 <= e.spec.Weights {
+			if e.held[name] == nil && e.heldMegabytes()+x.site.Spec.Models[name].Megabytes+400 <= e.spec.ModelMegabytes {
 				e.held[name], e.disk[name] = map[string]bool{}, true
 			}
 		}
@@ -257,12 +257,12 @@
 	var uses []fleet.Use
 	for k, u := range x.uses[entry] {
 		uses = append(uses, *u)
-		u.Begun = 0
+		u.Sent = 0
 		if u.Running == 0 {
 			delete(x.uses[entry], k)
 		}
 	}
-	x.after(reportDelay, func() { x.planner.Hear(x.clock(), fmt.Sprint(entry), demands, uses) })
+	x.after(reportDelay, func() { x.planner.RecordDemand(x.clock(), fmt.Sprint(entry), demands, uses) })
 }
 
 // plan carries out the orders and queries of the planner and publishes its endpoints.
@@ -284,7 +284,7 @@
 			x.after(queryDelay, func() { x.planner.Reported(x.clock(), q.Endpoint, r) })
 			continue
 		}
-		x.after(queryDelay, func() { x.planner.Unreported(x.clock(), q.Endpoint) })
+		x.after(queryDelay, func() { x.planner.QueryFailed(x.clock(), q.Endpoint) })
 	}
 	if x.planner.Changed() {
 		eps := x.planner.Endpoints()
@@ -313,7 +313,7 @@
 		if x.send(r) {
 			return true
 		}
-		if x.now-r.arrived < fleet.Hold(r.class.Limit, r.class.SilenceLimit, 0) {
+		if x.now-r.arrived < fleet.MaxWait(r.class.Limit, r.class.SilenceLimit, 0) {
 			return false
 		}
 		x.refuse(r)
@@ -324,7 +324,7 @@
 // refuse answers a caller with a time to retry after. The caller retries once, if its time
 // limit allows.
 func (x *runner) refuse(r *request) {
-	after := fleet.ComeBack(x.r.Int64N)
+	after := fleet.RetryAfter(x.r.Int64N)
 	if r.retried || x.now+after > r.firstArrived+r.class.Limit {
 		x.out.refused(r)
 		return
@@ -357,7 +357,7 @@
 	x.assigned[r] = e
 	u := x.useOf(r, e)
 	u.Running++
-	u.Begun++
+	u.Sent++
 	e.queue = append(e.queue, r)
 	slices.SortStableFunc(e.queue, func(a, b *request) int { return a.class.Priority - b.class.Priority })
 	return true
--- a/internal/app/replay/host.go
+++ b/internal/app/replay/host.go
@@ -51,8 +51,8 @@
 	}
 	h.up, h.leaving = true, false
 	h.incarnation++
-	h.ledger = ledger.New(ledger.Config{Memory: h.spec.Memory, HonoursFence: true, LongestOrder: maxOrderTime, AskEvery: time.Second}, h.r.now)
-	h.queue = admission.New(admission.Config{Slots: h.spec.Slots, MaxQueue: maxQueue, Expected: expectedServiceTime})
+	h.ledger = ledger.New(ledger.Config{Memory: h.spec.Memory, HonoursFence: true, LongestOrder: maxOrderTime, ListInterval: time.Second}, h.r.now)
+	h.queue = admission.New(admission.Config{Slots: h.spec.Slots, MaxQueue: maxQueue, ServiceTime: expectedServiceTime})
 	h.waiting, h.running = map[ident.Attempt]*request{}, map[ident.Attempt]*request{}
 	h.held, h.used = map[ident.Target]*engineModel{}, map[ident.Index]time.Time{}
 	h.fullReport = true
@@ -63,7 +63,7 @@
 			return
 		}
 		h.ledger.Registered(h.r.index)
-		h.ledger.FloorSet(h.r.now)
+		h.ledger.FloorConfirmed(h.r.now)
 		for _, id := range h.r.st.ByHost(h.spec.Host) {
 			rep, _ := h.r.st.Replica(id)
 			h.applyGrant(rep)
@@ -75,7 +75,7 @@
 
 func (h *host) registration(reason string) state.Command {
 	e := state.Endpoint{Host: h.spec.Host, Incarnation: ident.Incarnation(h.incarnation), Addr: "10.0.0.1:1", Zone: h.spec.Zone, Place: h.r.trace.World.placeName(), Memory: h.spec.Memory, Slots: h.spec.Slots, Up: true, Leaving: h.leaving}
-	return state.Command{By: "agent", Endpoint: &state.EndpointSet{Endpoint: e, Reason: reason}}
+	return state.Command{By: "agent", Endpoint: &state.EndpointUpdate{Endpoint: e, Reason: reason}}
 }
 
 // placeName returns the place named in the generated records.
@@ -118,7 +118,7 @@
 		return c
 	}))
 	h.r.after(leaseDuration+removeAfter, down(func() state.Command {
-		return state.Command{Forget: &state.EndpointForget{Host: h.spec.Host, Incarnation: ident.Incarnation(incarnation), Reason: "gone"}}
+		return state.Command{Forget: &state.EndpointRemoval{Host: h.spec.Host, Incarnation: ident.Incarnation(incarnation), Reason: "gone"}}
 	}))
 }
 
@@ -132,7 +132,7 @@
 }
 
 func (h *host) applyGrant(rep state.Replica) {
-	h.ledger.Decide(h.r.now, ledger.Grant{ID: rep.ID, Target: rep.Target, Bytes: rep.Bytes, Drain: rep.Phase == state.Draining, Ready: rep.Phase == state.Ready})
+	h.ledger.ApplyGrant(h.r.now, ledger.Grant{ID: rep.ID, Target: rep.Target, Bytes: rep.Bytes, Drain: rep.Phase == state.Draining, Ready: rep.Phase == state.Ready})
 	h.tick()
 }
 
@@ -170,7 +170,7 @@
 	for _, o := range h.ledger.Orders(now, busy) {
 		h.order(o)
 	}
-	h.commitEvents(h.ledger.Withdraw(now))
+	h.commitEvents(h.ledger.RemoveWaiting(now))
 }
 
 func (h *host) drop(a ident.Attempt, reason string) {
@@ -249,16 +249,16 @@
 }
 
 func (h *host) done(o ledger.Order) {
-	h.commitEvents(h.ledger.Finished(h.r.now, o, ledger.Done))
+	h.commitEvents(h.ledger.OrderEnded(h.r.now, o, ledger.Done))
 	h.tick()
 }
 
 // commitEvents proposes the new phases of replicas to the leader.
 func (h *host) commitEvents(events []ledger.Event) {
 	for _, e := range events {
-		set := &state.ReplicaSet{ID: e.ID, Phase: state.Ready, Reason: e.Reason}
+		set := &state.ReplicaUpdate{ID: e.ID, Phase: state.Ready, Reason: e.Reason}
 		if !e.Ready {
-			set.Phase, set.Gone = "", true
+			set.Phase, set.Removed = "", true
 		}
 		h.r.commit(state.Command{By: string(h.spec.Host), Replica: set}, true)
 	}
--- a/internal/app/replay/report.go
+++ b/internal/app/replay/report.go
@@ -121,8 +121,8 @@
 		}
 		n := st.Count(c.Replica.Target)
 		rep.MaxReplicas = max(rep.MaxReplicas, n)
-		if c.Replica.Phase == state.Granted && n > st.Sold(c.Replica.Target) {
-			panic(fmt.Sprintf("invariant: replay: %d replicas of %s, %d sold", n, c.Replica.Target, st.Sold(c.Replica.Target)))
+		if c.Replica.Phase == state.Granted && n > st.MaxReplicas(c.Replica.Target) {
+			panic(fmt.Sprintf("invariant: replay: %d replicas of %s, %d sold", n, c.Replica.Target, st.MaxReplicas(c.Replica.Target)))
 		}
 	}
 }
--- a/internal/app/replay/run.go
+++ b/internal/app/replay/run.go
@@ -312,7 +312,7 @@
 func (r *runner) refuseTooLate(t ident.Target, est placement.Estimate) {
 	for _, q := range append([]*request(nil), r.waiting[t]...) {
 		switch {
-		case est.Ready.IsZero() && est.Reason == placement.ReasonNoRoom:
+		case est.Ready.IsZero() && est.Reason == placement.ReasonNoMemory:
 			if q.noMemorySince.IsZero() {
 				q.noMemorySince = r.now
 			}
--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -57,9 +57,9 @@
 
 // Config bounds a Queue.
 type Config struct {
-	Slots    int           // requests that run at once on the endpoint
-	MaxQueue int           // requests that wait
-	Expected time.Duration // initial estimate of the service time
+	Slots       int           // requests that run at once on the endpoint
+	MaxQueue    int           // requests that wait
+	ServiceTime time.Duration // initial estimate of the service time
 }
 
 // Queue is the admission queue of one endpoint. It is not safe for concurrent
@@ -92,7 +92,7 @@
 
 // New returns an empty Queue.
 func New(cfg Config) *Queue {
-	return &Queue{cfg: cfg, running: map[ident.Attempt]running{}, waiting: map[ident.Attempt]*waiter{}, virtualFinish: map[ident.Customer]float64{}, meanService: cfg.Expected}
+	return &Queue{cfg: cfg, running: map[ident.Attempt]running{}, waiting: map[ident.Attempt]*waiter{}, virtualFinish: map[ident.Customer]float64{}, meanService: cfg.ServiceTime}
 }
 
 // Running returns the number of requests that run.
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -41,7 +41,7 @@
 
 func TestCustomersShareByCapacitySold(t *testing.T) {
 	is := is.New(t)
-	q := New(Config{Slots: 2, MaxQueue: 1000, Expected: time.Millisecond})
+	q := New(Config{Slots: 2, MaxQueue: 1000, ServiceTime: time.Millisecond})
 	n := 0
 	for range 200 {
 		for c, w := range map[string]float64{"one": 1, "three": 3} {
@@ -56,7 +56,7 @@
 
 func TestBurstOfOneCustomerDoesNotDelayAnother(t *testing.T) {
 	is := is.New(t)
-	q := New(Config{Slots: 1, MaxQueue: 1000, Expected: time.Millisecond})
+	q := New(Config{Slots: 1, MaxQueue: 1000, ServiceTime: time.Millisecond})
 	for n := range 300 {
 		q.Offer(start, request(n, "flood", 1, record.Interactive))
 	}
@@ -67,7 +67,7 @@
 
 func TestInteractiveRequestsPrecedeBatch(t *testing.T) {
 	is := is.New(t)
-	q := New(Config{Slots: 1, MaxQueue: 1000, Expected: time.Millisecond})
+	q := New(Config{Slots: 1, MaxQueue: 1000, ServiceTime: time.Millisecond})
 	for n := range 50 {
 		q.Offer(start, request(n, "batch", 1, record.Batch))
 	}
@@ -79,7 +79,7 @@
 
 func TestRequestThatCannotStartInTimeIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	q := New(Config{Slots: 1, MaxQueue: 2, Expected: 10 * time.Second})
+	q := New(Config{Slots: 1, MaxQueue: 2, ServiceTime: 10 * time.Second})
 	is.Equal(q.Offer(start, request(1, "a", 1, record.Interactive)).Verdict, Run)
 	urgent := request(2, "a", 1, record.Interactive)
 	urgent.Deadline = start.Add(time.Second)
@@ -96,7 +96,7 @@
 func TestRandomStepsLoseNoRequest(t *testing.T) {
 	for seed := range 200 {
 		r := rand.New(rand.NewPCG(uint64(seed), 3))
-		q := New(Config{Slots: 1 + r.IntN(4), MaxQueue: 10, Expected: time.Second})
+		q := New(Config{Slots: 1 + r.IntN(4), MaxQueue: 10, ServiceTime: time.Second})
 		now, in, ended := start, 0, 0
 		live := map[ident.Attempt]bool{}
 		for n := range 500 {
--- a/internal/core/allowance/allocator.go
+++ b/internal/core/allowance/allocator.go
@@ -71,9 +71,9 @@
 	}
 }
 
-// Heard records that a message of an entry arrived, and how many entries that entry knows of;
+// Seen records that a message of an entry arrived, and how many entries that entry knows of;
 // 0 if it does not know yet.
-func (l *Allocator) Heard(now time.Time, entry string, entries int) {
+func (l *Allocator) Seen(now time.Time, entry string, entries int) {
 	if now.Sub(l.lastSeen[entry]) > silentAfter {
 		l.refillAll(now) // subtracts what was withheld for it until now
 	}
@@ -99,7 +99,7 @@
 // Report applies what was used at an entry and returns a Share for each customer that has a
 // limit.
 func (l *Allocator) Report(now time.Time, entry string, uses []Use) []Share {
-	l.Heard(now, entry, 0)
+	l.Seen(now, entry, 0)
 	out := make([]Share, 0, len(uses))
 	for _, u := range uses {
 		if a := l.accounts[u.Customer]; a != nil {
--- a/internal/core/allowance/allowance_test.go
+++ b/internal/core/allowance/allowance_test.go
@@ -35,18 +35,18 @@
 		c.Unanswered(now)
 		return
 	}
-	l.Heard(now, entry, 0)
+	l.Seen(now, entry, 0)
 	c.Answered(now, l.Report(now, entry, uses))
 }
 
-// spend makes a request in each millisecond of a span, reports every ReportEvery, and returns
+// spend makes a request in each millisecond of a span, reports every ReportInterval, and returns
 // the units that were admitted.
 func spend(l *Allocator, entry string, c *Client, lim customer.Allowance, cost float64, from, to int) (units float64) {
 	for ms := from; ms < to; ms++ {
 		if c.Request(at(ms), "a", lim, cost).Admitted {
 			units += cost
 		}
-		if ms%int(ReportEvery.Milliseconds()) == 0 {
+		if ms%int(ReportInterval.Milliseconds()) == 0 {
 			report(at(ms), l, entry, c)
 		}
 	}
@@ -64,7 +64,7 @@
 			admitted += spend(l, string(rune('a'+i)), c, lim, 2, ms, ms+1)
 		}
 	}
-	is.True(admitted <= 4*1000+500+6000*ReportEvery.Seconds())
+	is.True(admitted <= 4*1000+500+6000*ReportInterval.Seconds())
 	is.True(admitted >= 4*1000)
 }
 
@@ -84,7 +84,7 @@
 	admitted, late := 0.0, newClient(2)
 	for ms := 2000; ms < 6000; ms++ {
 		for _, entry := range []string{"e1", "e2", "e3"} {
-			l.Heard(at(ms), entry, 0) // they are alive, but receive no requests
+			l.Seen(at(ms), entry, 0) // they are alive, but receive no requests
 		}
 		admitted += spend(l, "e4", late, lim, 3, ms, ms+1)
 	}
@@ -98,7 +98,7 @@
 		c.Request(at(0), "a", limitOf(1, 1), 1)
 		c.Report(at(0))
 		c.Answered(at(0), []Share{{Customer: "a", Chance: 0, Pressure: pressure}})
-		return c.Request(at(1), "a", limitOf(1, 1), 1).After
+		return c.Request(at(1), "a", limitOf(1, 1), 1).RetryAfter
 	}
 	is.Equal(after(0.4), retryAfter)
 	is.Equal(after(3), 3*retryAfter)
@@ -111,7 +111,7 @@
 	l, lim, c := settled(100, 100), limitOf(100, 100), newClient(1)
 	is.True(c.Request(at(0), "a", lim, 100).Admitted)
 	report(at(0), l, "e1", c)
-	c.GiveBack("a", 100)
+	c.Refund("a", 100)
 	report(at(1), l, "e1", c)
 	is.True(l.Status(at(1))[0].Level > 99)
 }
@@ -193,7 +193,7 @@
 	for ms := range 4000 { // demand is four times the rate
 		for i, c := range clients {
 			spend(old, names[i], c, lim, 4.0/3, ms, ms+1)
-			old.Heard(at(ms), names[i], 3)
+			old.Seen(at(ms), names[i], 3)
 		}
 	}
 	next := NewAllocator(Tolerance{})
@@ -205,7 +205,7 @@
 				spent += spend(nil, "c", c, lim, 4.0/3, ms, ms+1)
 				continue
 			}
-			next.Heard(at(ms), names[i], 3)
+			next.Seen(at(ms), names[i], 3)
 			spent += spend(next, names[i], c, lim, 4.0/3, ms, ms+1)
 		}
 	}
@@ -220,7 +220,7 @@
 	spend(l, "e1", c, limitOf(10000, 10000), 8, 0, 2000)
 	l.SetLimits(at(2000), []Limit{{"a", 1000, 1000}})
 	admitted := spend(l, "e1", c, limitOf(1000, 1000), 8, 2000, 6000)
-	is.True(admitted <= 4*1000+1000+8000*ReportEvery.Seconds())
+	is.True(admitted <= 4*1000+1000+8000*ReportInterval.Seconds())
 	is.True(admitted >= 3*1000*0.9) // the excess is paid back within a second
 }
 
--- a/internal/core/allowance/client.go
+++ b/internal/core/allowance/client.go
@@ -35,8 +35,8 @@
 
 // Decision tells whether a request is admitted under its customer's allowance.
 type Decision struct {
-	Admitted bool
-	After    time.Duration // time after which to try again, if it is not admitted
+	Admitted   bool
+	RetryAfter time.Duration // time after which to try again, if it is not admitted
 	// The inputs of the decision, for logs.
 	Chance   float64
 	Pressure float64
@@ -67,7 +67,7 @@
 	}
 	switch {
 	case !d.Admitted:
-		d.After = time.Duration((0.5 + c.draw()) * max(1, min(a.pressure, maxPressure)) * float64(retryAfter))
+		d.RetryAfter = time.Duration((0.5 + c.draw()) * max(1, min(a.pressure, maxPressure)) * float64(retryAfter))
 	case !c.silent || d.Age <= silentAfter:
 		a.used += cost // later use is covered by what the leader withholds
 	}
@@ -105,8 +105,8 @@
 	return true
 }
 
-// GiveBack refunds the units of an admitted request that did not run.
-func (c *Client) GiveBack(name ident.Customer, cost float64) {
+// Refund refunds the units of an admitted request that did not run.
+func (c *Client) Refund(name ident.Customer, cost float64) {
 	if a := c.accounts[name]; a != nil {
 		a.used -= cost
 	}
--- a/internal/core/allowance/doc.go
+++ b/internal/core/allowance/doc.go
@@ -12,7 +12,7 @@
 // used; below 0 nothing is admitted. So the use in a window is at most r*w + b, a fifth of
 // that excess, and the amount by which the level fell below 0. That amount is what entries
 // admit between two reports beyond the contents of the bucket: with an answer in every
-// ReportEvery, the demand in that time minus what the bucket gained in it. Two things are
+// ReportInterval, the demand in that time minus what the bucket gained in it. Two things are
 // added to it:
 //
 //   - A new leader does not know of earlier use and starts with a part of b.
--- a/internal/core/allowance/model_test.go
+++ b/internal/core/allowance/model_test.go
@@ -122,12 +122,12 @@
 
 // sendReport sends an entry's report; the answer arrives later or never.
 func (m *model) sendReport(e *modelEntry) {
-	if m.now.Before(e.busyUntil) || m.now.Sub(e.reported) < ReportEvery {
+	if m.now.Before(e.busyUntil) || m.now.Sub(e.reported) < ReportInterval {
 		return
 	}
 	reached := m.leader != nil && !m.now.Before(e.cutUntil)
 	if reached {
-		m.leader.Heard(m.now, e.name, 0)
+		m.leader.Seen(m.now, e.name, 0)
 		e.client.Reached()
 	}
 	if !e.client.Pending() {
@@ -195,7 +195,7 @@
 		}
 		// A report interval is 0.2 s and a lost report takes another 0.25 s; in this time each
 		// entry admits at least one request. Each leader starts without knowledge.
-		blind := m.pressure*m.limit.Rate*(ReportEvery+250*time.Millisecond).Seconds() + m.largest*float64(len(m.entries))
+		blind := m.pressure*m.limit.Rate*(ReportInterval+250*time.Millisecond).Seconds() + m.largest*float64(len(m.entries))
 		bound := m.limit.Rate*window.Seconds() + m.limit.Burst + blind*float64(1+leaders) + m.limit.Burst*startShare*float64(leaders)
 		if granted > bound {
 			t.Fatalf("seed %d: %.0f units were admitted in the %v before %v; %.0f are allowed", seed, granted, window, s.at.Sub(epoch), bound)
@@ -255,7 +255,7 @@
 			m.deliver()
 			for _, e := range m.entries {
 				m.arrive(e, 3)
-				if !m.now.Before(e.busyUntil) && m.now.Sub(e.reported) >= ReportEvery {
+				if !m.now.Before(e.busyUntil) && m.now.Sub(e.reported) >= ReportInterval {
 					e.reported = m.now
 					report(m.now, m.leader, e.name, e.client)
 				}
--- a/internal/core/allowance/types.go
+++ b/internal/core/allowance/types.go
@@ -57,8 +57,8 @@
 	Pressure      float64        `json:"p,omitempty"` // demand at all entries, as a share of the rate
 }
 
-// ReportEvery is the time between two reports of an entry that receives requests.
-const ReportEvery = 200 * time.Millisecond
+// ReportInterval is the time between two reports of an entry that receives requests.
+const ReportInterval = 200 * time.Millisecond
 
 const (
 	// silentAfter is the time without a message after which an entry counts as silent. Entries
--- a/internal/core/bound/bound_test.go
+++ b/internal/core/bound/bound_test.go
@@ -57,9 +57,9 @@
 			e.free += p.Models[j].Megabytes
 			e.now += p.Unload
 		}
-		loadTime := p.Models[i].First
+		loadTime := p.Models[i].FirstLoad
 		if at, known := loadedAt[i]; known && at <= e.now {
-			loadTime = p.Models[i].Again
+			loadTime = p.Models[i].Reload
 		}
 		e.now += max(loadTime, time.Millisecond)
 		if at, known := loadedAt[i]; !known || e.now < at {
@@ -93,8 +93,8 @@
 	for i, m := range p.Models {
 		sum := 0.0
 		for _, q := range m.Requests {
-			if q.From < now+2*time.Second && q.Late > now+m.Again {
-				sum += q.Worth * r.Float64()
+			if q.From < now+2*time.Second && q.Late > now+m.Reload {
+				sum += q.Value * r.Float64()
 			}
 		}
 		if sum > bestValue {
@@ -115,9 +115,9 @@
 			}
 			switch {
 			case q.InTime >= q.From && held(q.InTime):
-				sum += q.Worth
+				sum += q.Value
 			case q.Late >= q.From && held(q.Late):
-				sum += q.Little
+				sum += q.LateValue
 			}
 		}
 	}
@@ -128,15 +128,15 @@
 func randomProblem(r *rand.Rand) Problem {
 	p := Problem{Engines: 1 + r.IntN(3), Megabytes: 100, End: 20 * time.Second, OnDemand: r.IntN(3) == 0, Unload: time.Duration(r.IntN(3)) * 100 * time.Millisecond}
 	for i := range 4 + r.IntN(12) {
-		m := Model{Name: fmt.Sprint(i), Megabytes: 10 + r.Int64N(80), Again: time.Duration(r.IntN(700)) * time.Millisecond}
-		m.First = m.Again + time.Duration(r.IntN(2000))*time.Millisecond
+		m := Model{Name: fmt.Sprint(i), Megabytes: 10 + r.Int64N(80), Reload: time.Duration(r.IntN(700)) * time.Millisecond}
+		m.FirstLoad = m.Reload + time.Duration(r.IntN(2000))*time.Millisecond
 		m.Held = i < p.Engines
 		for range r.IntN(8) {
-			q := Request{From: time.Duration(r.IntN(10000)) * time.Millisecond, Worth: 1 + r.Float64()*9}
+			q := Request{From: time.Duration(r.IntN(10000)) * time.Millisecond, Value: 1 + r.Float64()*9}
 			q.InTime = q.From + time.Duration(r.IntN(2500)-200)*time.Millisecond
 			q.Late = q.InTime + time.Duration(r.IntN(4000))*time.Millisecond
 			q.Runs = time.Duration(r.IntN(2)*r.IntN(1500)) * time.Millisecond
-			q.Little = q.Worth * r.Float64()
+			q.LateValue = q.Value * r.Float64()
 			m.Requests = append(m.Requests, q)
 		}
 		p.Models = append(p.Models, m)
@@ -161,10 +161,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if best > res.Most+1e-9 || res.Most > res.Total+1e-9 {
-				t.Fatalf("seed %d, %+v: %.6f earned, at most %.6f of %.6f", seed, s, best, res.Most, res.Total)
+			if best > res.Bound+1e-9 || res.Bound > res.Total+1e-9 {
+				t.Fatalf("seed %d, %+v: %.6f earned, at most %.6f of %.6f", seed, s, best, res.Bound, res.Total)
 			}
-			tightest = max(tightest, best/res.Most)
+			tightest = max(tightest, best/res.Bound)
 		}
 	}
 	t.Logf("a schedule came within %.3f of its bound", tightest)
@@ -198,7 +198,7 @@
 	var out []Request
 	for i := range seconds * 10 {
 		at := time.Duration(i) * 100 * time.Millisecond
-		out = append(out, Request{From: at, InTime: at, Late: at, Worth: 1})
+		out = append(out, Request{From: at, InTime: at, Late: at, Value: 1})
 	}
 	return out
 }
@@ -217,19 +217,19 @@
 	p := Problem{Engines: 1, Megabytes: 100, End: 20 * time.Second, Models: []Model{
 		{Name: "a", Megabytes: 50, Held: true, Requests: steadyRequests(20)}, {Name: "b", Megabytes: 50, Held: true, Requests: steadyRequests(20)},
 	}}
-	is.Equal(solve(t, p).Most, p.Total())
+	is.Equal(solve(t, p).Bound, p.Total())
 }
 
 // By size alone, models of 0.6 of an engine fit 1.67 times into it; in fact only one fits.
 func TestModelsOfMoreThanHalfAnEngineDoNotShareOne(t *testing.T) {
 	is := is.New(t)
 	p := Problem{Engines: 1, Megabytes: 100, End: 20 * time.Second, Unload: 200 * time.Millisecond, Models: []Model{
-		{Name: "a", Megabytes: 60, First: time.Second, Again: time.Second, Held: true, Requests: steadyRequests(20)},
-		{Name: "b", Megabytes: 60, First: time.Second, Again: time.Second, Requests: steadyRequests(20)},
+		{Name: "a", Megabytes: 60, FirstLoad: time.Second, Reload: time.Second, Held: true, Requests: steadyRequests(20)},
+		{Name: "b", Megabytes: 60, FirstLoad: time.Second, Reload: time.Second, Requests: steadyRequests(20)},
 	}}
 	r := solve(t, p)
-	is.True(r.Most >= p.Total()/2)
-	is.True(r.Most < p.Total()*0.54)
+	is.True(r.Bound >= p.Total()/2)
+	is.True(r.Bound < p.Total()*0.54)
 	is.True(r.Memory > 0)
 }
 
@@ -239,20 +239,20 @@
 	is := is.New(t)
 	p := Problem{Engines: 1, Megabytes: 1000, End: 10 * time.Second}
 	for i := range 20 {
-		p.Models = append(p.Models, Model{Name: fmt.Sprint(i), Megabytes: 10, First: time.Second, Again: time.Second,
-			Requests: []Request{{From: 5 * time.Second, InTime: 5 * time.Second, Late: 5 * time.Second, Worth: 1}}})
+		p.Models = append(p.Models, Model{Name: fmt.Sprint(i), Megabytes: 10, FirstLoad: time.Second, Reload: time.Second,
+			Requests: []Request{{From: 5 * time.Second, InTime: 5 * time.Second, Late: 5 * time.Second, Value: 1}}})
 	}
 	r := solve(t, p)
-	is.True(r.Most >= 5)
-	is.True(r.Most < 6.1)
+	is.True(r.Bound >= 5)
+	is.True(r.Bound < 6.1)
 	is.True(r.Orders > r.Memory)
 }
 
 func TestLateLoadEarnsOnlyTheLateValue(t *testing.T) {
 	is := is.New(t)
-	p := Problem{Engines: 1, Megabytes: 100, End: 20 * time.Second, Models: []Model{{Name: "a", Megabytes: 50, First: 5 * time.Second, Again: time.Second,
-		Requests: []Request{{From: time.Second, InTime: 3 * time.Second, Late: 8 * time.Second, Worth: 10, Little: 2}, {From: 0, InTime: time.Second, Late: 2 * time.Second, Worth: 10, Little: 2}}}}}
-	is.Equal(solve(t, p).Most, 2.0)
+	p := Problem{Engines: 1, Megabytes: 100, End: 20 * time.Second, Models: []Model{{Name: "a", Megabytes: 50, FirstLoad: 5 * time.Second, Reload: time.Second,
+		Requests: []Request{{From: time.Second, InTime: 3 * time.Second, Late: 8 * time.Second, Value: 10, LateValue: 2}, {From: 0, InTime: time.Second, Late: 2 * time.Second, Value: 10, LateValue: 2}}}}}
+	is.Equal(solve(t, p).Bound, 2.0)
 }
 
 // Ten models, each requested once and all in the same second, each occupy a whole engine for
@@ -261,33 +261,33 @@
 	is := is.New(t)
 	p := Problem{Engines: 1, Megabytes: 10, End: 8 * time.Second}
 	for i := range 10 {
-		p.Models = append(p.Models, Model{Name: fmt.Sprint(i), Megabytes: 10, Requests: []Request{{From: time.Second, InTime: 2 * time.Second, Late: 2 * time.Second, Runs: 5 * time.Second, Worth: 1}}})
+		p.Models = append(p.Models, Model{Name: fmt.Sprint(i), Megabytes: 10, Requests: []Request{{From: time.Second, InTime: 2 * time.Second, Late: 2 * time.Second, Runs: 5 * time.Second, Value: 1}}})
 	}
 	r := solve(t, p)
-	is.True(r.Most >= 1)
-	is.True(r.Most < 1.5)
+	is.True(r.Bound >= 1)
+	is.True(r.Bound < 1.5)
 }
 
 func TestLoadsOnDemandWaitForARequest(t *testing.T) {
 	is := is.New(t)
-	p := Problem{Engines: 1, Megabytes: 10, End: 20 * time.Second, Models: []Model{{Name: "a", Megabytes: 10, First: time.Second, Again: time.Second, Requests: []Request{
-		{From: 5 * time.Second, InTime: 5500 * time.Millisecond, Late: 8 * time.Second, Worth: 10, Little: 3},
+	p := Problem{Engines: 1, Megabytes: 10, End: 20 * time.Second, Models: []Model{{Name: "a", Megabytes: 10, FirstLoad: time.Second, Reload: time.Second, Requests: []Request{
+		{From: 5 * time.Second, InTime: 5500 * time.Millisecond, Late: 8 * time.Second, Value: 10, LateValue: 3},
 	}}}}
-	is.Equal(solve(t, p).Most, 10.0)
+	is.Equal(solve(t, p).Bound, 10.0)
 	p.OnDemand = true
-	is.Equal(solve(t, p).Most, 3.0)
+	is.Equal(solve(t, p).Bound, 3.0)
 }
 
 func TestInvalidProblemsAreRefused(t *testing.T) {
 	is := is.New(t)
-	good := Problem{Engines: 1, Megabytes: 100, End: time.Second, Models: []Model{{Name: "a", Megabytes: 1, Requests: []Request{{Worth: 1}}}}}
+	good := Problem{Engines: 1, Megabytes: 100, End: time.Second, Models: []Model{{Name: "a", Megabytes: 1, Requests: []Request{{Value: 1}}}}}
 	is.NoErr(good.Check())
 	for _, invalidate := range []func(*Problem){
 		func(p *Problem) { p.Engines = 0 },
 		func(p *Problem) { p.End = 0 },
 		func(p *Problem) { p.Models[0].Megabytes = 0 },
-		func(p *Problem) { p.Models[0].Again = time.Second },
-		func(p *Problem) { p.Models[0].Requests[0].Little = 2 },
+		func(p *Problem) { p.Models[0].Reload = time.Second },
+		func(p *Problem) { p.Models[0].Requests[0].LateValue = 2 },
 		func(p *Problem) { p.Models[0].Requests[0].From = -time.Second },
 	} {
 		bad := good
--- a/internal/core/bound/problem.go
+++ b/internal/core/bound/problem.go
@@ -24,20 +24,20 @@
 type Model struct {
 	Name      string        `json:"name"`
 	Megabytes int64         `json:"megabytes"`
-	First     time.Duration `json:"first"` // minimum time of its first load
-	Again     time.Duration `json:"again"` // minimum time of a later load
+	FirstLoad time.Duration `json:"first"` // minimum time of its first load
+	Reload    time.Duration `json:"again"` // minimum time of a later load
 	Held      bool          `json:"held"`  // an engine holds it at Begin
 	Requests  []Request     `json:"requests"`
 }
 
 // Request is one request for a model.
 type Request struct {
-	From   time.Duration `json:"from"`   // arrival
-	InTime time.Duration `json:"inTime"` // latest time at which the model must be held for the full value
-	Late   time.Duration `json:"late"`   // latest time at which the model must be held for the late value
-	Runs   time.Duration `json:"runs"`   // minimum time for which the model is then held; 0 if the request may be cut off
-	Worth  float64       `json:"worth"`
-	Little float64       `json:"little"` // value of a late answer, at most the full value
+	From      time.Duration `json:"from"`   // arrival
+	InTime    time.Duration `json:"inTime"` // latest time at which the model must be held for the full value
+	Late      time.Duration `json:"late"`   // latest time at which the model must be held for the late value
+	Runs      time.Duration `json:"runs"`   // minimum time for which the model is then held; 0 if the request may be cut off
+	Value     float64       `json:"worth"`
+	LateValue float64       `json:"little"` // value of a late answer, at most the full value
 }
 
 // ErrProblem is the cause of errors for an invalid problem or invalid settings.
@@ -52,11 +52,11 @@
 		return oops.Wrapf(ErrProblem, "from %v to %v with unloads of %v", p.Begin, p.End, p.Unload)
 	}
 	for _, m := range p.Models {
-		if m.Megabytes < 1 || m.First < 0 || m.Again < 0 || m.Again > m.First {
-			return oops.Wrapf(ErrProblem, "model %q of %d MB, loaded in %v, later in %v", m.Name, m.Megabytes, m.First, m.Again)
+		if m.Megabytes < 1 || m.FirstLoad < 0 || m.Reload < 0 || m.Reload > m.FirstLoad {
+			return oops.Wrapf(ErrProblem, "model %q of %d MB, loaded in %v, later in %v", m.Name, m.Megabytes, m.FirstLoad, m.Reload)
 		}
 		for _, r := range m.Requests {
-			if r.From < p.Begin || r.Runs < 0 || r.Little < 0 || r.Worth < r.Little || r.Late < r.InTime {
+			if r.From < p.Begin || r.Runs < 0 || r.LateValue < 0 || r.Value < r.LateValue || r.Late < r.InTime {
 				return oops.Wrapf(ErrProblem, "model %q: request %+v", m.Name, r)
 			}
 		}
@@ -69,7 +69,7 @@
 	var sum float64
 	for _, m := range p.Models {
 		for _, r := range m.Requests {
-			sum += r.Worth
+			sum += r.Value
 		}
 	}
 	return sum
--- a/internal/core/bound/solve.go
+++ b/internal/core/bound/solve.go
@@ -22,7 +22,7 @@
 // Result is a bound.
 type Result struct {
 	Total float64 `json:"total"` // value of all requests if all are served in time
-	Most  float64 `json:"most"`  // no policy earns more
+	Bound float64 `json:"most"`  // no policy earns more
 	// Memory and Orders are the parts of the bound that come from the prices of memory and of
 	// order time. At 0 there is enough of the resource; a large value means that more of
 	// it would earn more.
@@ -48,21 +48,21 @@
 		return Result{}, oops.Wrapf(ErrProblem, "settings %+v", s)
 	}
 	x := newSearch(p, s)
-	best := Result{Total: p.Total(), Most: math.Inf(1)}
+	best := Result{Total: p.Total(), Bound: math.Inf(1)}
 	theta, stalled := 1.0, 0
 	for range s.Rounds {
 		r := x.value()
-		if stalled++; r.Most < best.Most {
-			best.Most, best.Memory, best.Orders = r.Most, r.Memory, r.Orders
+		if stalled++; r.Bound < best.Bound {
+			best.Bound, best.Memory, best.Orders = r.Bound, r.Memory, r.Orders
 			stalled = 0
 		}
-		if best.Most-earned <= tolerance*best.Total {
+		if best.Bound-earned <= tolerance*best.Total {
 			break
 		}
 		if stalled == stallRounds {
 			theta, stalled = theta/2, 0
 		}
-		x.prices.descend(x.capacity, x.used, theta*(r.Most-earned))
+		x.prices.descend(x.capacity, x.used, theta*(r.Bound-earned))
 	}
 	return best, nil
 }
@@ -95,9 +95,9 @@
 	x.used.clear()
 	var r Result
 	r.Memory, r.Orders = x.prices.cost(x.capacity)
-	r.Most = r.Memory + r.Orders
+	r.Bound = r.Memory + r.Orders
 	for _, v := range x.models {
-		r.Most += v.value(*x.prices, x.used)
+		r.Bound += v.value(*x.prices, x.used)
 	}
 	return r
 }
--- a/internal/core/bound/windows.go
+++ b/internal/core/bound/windows.go
@@ -29,7 +29,7 @@
 }
 
 func newValuer(p Problem, m Model, g grid) *valuer {
-	v := &valuer{g: g, loadSeconds: [2]float64{m.First.Seconds(), m.Again.Seconds()}, unload: p.Unload.Seconds(), held: m.Held, onDemand: p.OnDemand}
+	v := &valuer{g: g, loadSeconds: [2]float64{m.FirstLoad.Seconds(), m.Reload.Seconds()}, unload: p.Unload.Seconds(), held: m.Held, onDemand: p.OnDemand}
 	for k := range measures {
 		v.size[k] = measure(k, m.Megabytes, p.Megabytes)
 	}
@@ -55,7 +55,7 @@
 			continue
 		}
 		a := windowRequest{from: v.g.at(r.From.Seconds()), inTime: v.g.at(r.InTime.Seconds() + rounding), late: v.g.at(r.Late.Seconds() + rounding),
-			runs: int(r.Runs.Seconds() / v.g.width), value: r.Worth, lateValue: r.Little}
+			runs: int(r.Runs.Seconds() / v.g.width), value: r.Value, lateValue: r.LateValue}
 		if r.InTime < r.From {
 			a.inTime = -1
 		}
--- a/internal/core/consensus/clients_test.go
+++ b/internal/core/consensus/clients_test.go
@@ -62,8 +62,8 @@
 
 func (s *sim) answer(c *client, res state.Result) {
 	out := regOutput{code: res.Code, rev: res.Revision}
-	if res.Code == state.Conflict && res.Present != nil && !res.Resent {
-		out.rev = res.Present.Revision
+	if res.Code == state.Conflict && res.Current != nil && !res.Resent {
+		out.rev = res.Current.Revision
 	}
 	s.done(c, regInput{base: c.base}, out)
 	c.base = out.rev
--- a/internal/core/consensus/node.go
+++ b/internal/core/consensus/node.go
@@ -132,9 +132,9 @@
 // Term returns the present term.
 func (n *Node) Term() uint64 { return n.term }
 
-// LeadsSettled reports whether this member leads and has applied everything
+// LeaderCaughtUp reports whether this member leads and has applied everything
 // that was committed before its term began, so that its state is current.
-func (n *Node) LeadsSettled() bool {
+func (n *Node) LeaderCaughtUp() bool {
 	t, ok := n.log.term(n.log.applied)
 	return n.role == Leader && ok && t == n.term
 }
--- a/internal/core/contact/book.go
+++ b/internal/core/contact/book.go
@@ -12,12 +12,12 @@
 
 // The standings.
 const (
-	// Lost: it is not a member, or has had no leader for long.
-	Lost Standing = iota
-	// Follows: it is a member and has a leader.
-	Follows
-	// Leads: it is the leader.
-	Leads
+	// Disconnected: it is not a member, or has had no leader for long.
+	Disconnected Standing = iota
+	// Following: it is a member and has a leader.
+	Following
+	// Leading: it is the leader.
+	Leading
 )
 
 const (
@@ -70,7 +70,7 @@
 // New returns the Book of a host. kept are the addresses that it stored on disk.
 func New(now time.Time, self Contact, seeds, kept []string) *Book {
 	b := &Book{self: self, seeds: slices.Clone(seeds), byAddr: map[string]*entry{}, byID: map[consensus.NodeID]string{}}
-	b.Told(now, kept)
+	b.RecordReported(now, kept)
 	return b
 }
 
@@ -80,10 +80,10 @@
 // SetMembers replaces the membership by that of this host's log.
 func (b *Book) SetMembers(m consensus.Membership) { b.members = m }
 
-// Met records a host's own announcement of its identity and address. An identity has
+// RecordSeen records a host's own announcement of its identity and address. An identity has
 // the address where it was last seen, and an address belongs to the identity last seen
 // there: a host that lost its disk, or another host at its address, has a new identity.
-func (b *Book) Met(now time.Time, c Contact) {
+func (b *Book) RecordSeen(now time.Time, c Contact) {
 	if c.Addr == "" || c.Addr == b.self.Addr || c.ID == b.self.ID {
 		return
 	}
@@ -100,8 +100,8 @@
 	b.prune(now)
 }
 
-// Told records addresses reported by another host or stored on disk.
-func (b *Book) Told(now time.Time, addrs []string) {
+// RecordReported records addresses reported by another host or stored on disk.
+func (b *Book) RecordReported(now time.Time, addrs []string) {
 	for _, a := range addrs {
 		if a == "" || a == b.self.Addr || b.byAddr[a] != nil {
 			continue
@@ -134,7 +134,7 @@
 // evictionCandidate returns the address to remove first: addresses that were only reported
 // come before those of hosts that were seen, then the one seen longest ago.
 func (b *Book) evictionCandidate() string {
-	addrs := b.Kept()
+	addrs := b.Addrs()
 	return slices.MinFunc(addrs, func(x, y string) int {
 		p, q := b.byAddr[x], b.byAddr[y]
 		if p.seen() != q.seen() {
@@ -147,8 +147,8 @@
 	})
 }
 
-// Kept returns the addresses to store on disk, sorted.
-func (b *Book) Kept() []string {
+// Addrs returns the addresses to store on disk, sorted.
+func (b *Book) Addrs() []string {
 	out := make([]string, 0, len(b.byAddr))
 	for a := range b.byAddr {
 		out = append(out, a)
@@ -165,16 +165,16 @@
 	return addr, seen
 }
 
-// Tell returns the addresses to share with others: hosts seen within shareFor and, unless
-// this host is Lost and its log may be outdated, the members.
-func (b *Book) Tell(now time.Time, s Standing) []string {
+// ToShare returns the addresses to share with others: hosts seen within shareFor and, unless
+// this host is Disconnected and its log may be outdated, the members.
+func (b *Book) ToShare(now time.Time, s Standing) []string {
 	var out []string
-	for _, a := range b.Kept() {
+	for _, a := range b.Addrs() {
 		if e := b.byAddr[a]; e.seen() && now.Sub(e.lastSeen) < shareFor {
 			out = append(out, a)
 		}
 	}
-	if s == Lost {
+	if s == Disconnected {
 		return out
 	}
 	for _, m := range b.members.Members {
@@ -192,18 +192,18 @@
 	for _, m := range b.members.Members {
 		out = append(out, m.Addr)
 	}
-	out = append(out, b.Kept()...)
+	out = append(out, b.Addrs()...)
 	slices.Sort(out)
 	out = slices.Compact(out)
 	return slices.DeleteFunc(out, func(a string) bool { return a == "" || a == b.self.Addr })
 }
 
-// Greet returns the addresses to greet now and records them as greeted. silent are the
+// NextGreetings returns the addresses to greet now and records them as greeted. silent are the
 // members from which the leader receives no messages.
-func (b *Book) Greet(now time.Time, s Standing, silent []consensus.NodeID) []string {
+func (b *Book) NextGreetings(now time.Time, s Standing, silent []consensus.NodeID) []string {
 	var out []string
 	for _, a := range b.All() {
-		if s != Lost && b.inTouch(a, silent) {
+		if s != Disconnected && b.inTouch(a, silent) {
 			continue
 		}
 		e, known := b.byAddr[a]
@@ -234,7 +234,7 @@
 // interval returns the time between two greetings to an address. Seeds and members are
 // always greeted at the minimum interval, because new hosts appear at their addresses.
 func (b *Book) interval(now time.Time, s Standing, addr string, e *entry) time.Duration {
-	minInterval := map[Standing]time.Duration{Lost: lostInterval, Follows: followerInterval, Leads: leaderInterval}[s]
+	minInterval := map[Standing]time.Duration{Disconnected: lostInterval, Following: followerInterval, Leading: leaderInterval}[s]
 	if slices.Contains(b.seeds, addr) || slices.ContainsFunc(b.members.Members, func(m consensus.Member) bool { return m.Addr == addr }) {
 		return minInterval
 	}
--- a/internal/core/contact/model_test.go
+++ b/internal/core/contact/model_test.go
@@ -218,17 +218,17 @@
 func (s *model) standing(h *simHost) Standing {
 	switch {
 	case h == s.leader:
-		return Leads
+		return Leading
 	case h.inGroup:
-		return Follows
+		return Following
 	}
-	return Lost
+	return Disconnected
 }
 
 // greet sends a host's greetings, and its request to join if a member answers.
 func (s *model) greet(h *simHost) {
 	st := s.standing(h)
-	if st != Lost && s.disabled == greetings {
+	if st != Disconnected && s.disabled == greetings {
 		return
 	}
 	var silent []consensus.NodeID
@@ -237,14 +237,14 @@
 			silent = append(silent, m.ID)
 		}
 	}
-	for _, a := range h.book.Greet(s.now, st, silent) {
+	for _, a := range h.book.NextGreetings(s.now, st, silent) {
 		o := s.at(a)
 		if o == nil || !s.linked(h, o) {
 			continue
 		}
 		s.meet(h, o)
 		s.meet(o, h)
-		if st == Lost && o.inGroup && s.leader != nil && !slices.Contains(s.joiners, h) {
+		if st == Disconnected && o.inGroup && s.leader != nil && !slices.Contains(s.joiners, h) {
 			s.joiners = append(s.joiners, h)
 			h.log = s.leader.log // the answer contains the membership
 		}
@@ -254,13 +254,13 @@
 // meet makes a record b and the addresses that b shares.
 func (s *model) meet(a, b *simHost) {
 	if s.disabled != memory {
-		a.book.Met(s.now, Contact{ID: b.id, Addr: b.addr})
+		a.book.RecordSeen(s.now, Contact{ID: b.id, Addr: b.addr})
 	}
 	if s.disabled != sharing {
-		a.book.Told(s.now, b.book.Tell(s.now, s.standing(b)))
+		a.book.RecordReported(s.now, b.book.ToShare(s.now, s.standing(b)))
 	}
 	if a.disk {
-		a.kept = a.book.Kept()
+		a.kept = a.book.Addrs()
 	}
 }
 
--- a/internal/core/customer/allowance.go
+++ b/internal/core/customer/allowance.go
@@ -17,10 +17,10 @@
 
 // Allowance is the rate and burst of a customer, over all entries together.
 type Allowance struct {
-	Rate  float64 // units a second; 0 if there is no limit
-	Burst float64 // units that may be used at once in addition to the rate
-	Unit  Unit
-	Plain float64 // units of a request that announces no tokens; only with Tokens
+	Rate        float64 // units a second; 0 if there is no limit
+	Burst       float64 // units that may be used at once in addition to the rate
+	Unit        Unit
+	DefaultCost float64 // units of a request that announces no tokens; only with Tokens
 }
 
 // maxRate bounds rates and bursts: above it, sums over a day lose single units to rounding.
@@ -36,7 +36,7 @@
 	case a.Unit == Requests:
 		return 1
 	case !announced:
-		return a.Plain
+		return a.DefaultCost
 	}
 	return float64(max(tokens, 0))
 }
@@ -45,7 +45,7 @@
 	for _, v := range []struct {
 		name  string
 		value float64
-	}{{"rate", a.Rate}, {"burst", a.Burst}, {"size of a plain request", a.Plain}} {
+	}{{"rate", a.Rate}, {"burst", a.Burst}, {"size of a plain request", a.DefaultCost}} {
 		switch {
 		case math.IsNaN(v.value):
 			return fmt.Errorf("the %s is not a number", v.name)
--- a/internal/core/customer/book.go
+++ b/internal/core/customer/book.go
@@ -9,10 +9,10 @@
 
 // Customer is the party on whose behalf callers send requests.
 type Customer struct {
-	Name      ident.Customer
-	Ranked    bool // Priority overrides the route's
-	Priority  int  // 0 is the most urgent
-	Allowance Allowance
+	Name        ident.Customer
+	HasPriority bool // Priority overrides the route's
+	Priority    int  // 0 is the most urgent
+	Allowance   Allowance
 }
 
 // Entry is a customer with its keys, as listed in a deployment.
@@ -102,9 +102,9 @@
 
 // Credential is the authentication that a request carries.
 type Credential struct {
-	Key   Key
-	Given bool // the request has an authentication field, whatever its value
-	Bad   bool // the field is malformed or repeated
+	Key       Key
+	Present   bool // the request has an authentication field, whatever its value
+	Malformed bool // the field is malformed or repeated
 }
 
 // Standing is the result of Identify.
@@ -121,9 +121,9 @@
 // is required: its caller expects to be identified and would be treated as anonymous instead.
 func (b *Book) Identify(c Credential, anonymous bool) (*Customer, Digest, Standing) {
 	switch {
-	case !c.Given && anonymous:
+	case !c.Present && anonymous:
 		return nil, Digest{}, Anonymous
-	case !c.Given, c.Bad, c.Key == "", len(c.Key) > maxKeyBytes:
+	case !c.Present, c.Malformed, c.Key == "", len(c.Key) > maxKeyBytes:
 		return nil, Digest{}, Unknown
 	}
 	d := b.digester.Digest(c.Key)
--- a/internal/core/customer/customer_test.go
+++ b/internal/core/customer/customer_test.go
@@ -35,9 +35,9 @@
 		"negative rate":       {[]Entry{limited(Allowance{Rate: -1})}, "the rate is negative"},
 		"rate of no number":   {[]Entry{limited(Allowance{Rate: math.NaN()})}, "not a number"},
 		"endless burst":       {[]Entry{limited(Allowance{Rate: 1, Burst: math.Inf(1)})}, "the burst is above"},
-		"negative plain":      {[]Entry{limited(Allowance{Plain: -3})}, "plain request is negative"},
+		"negative plain":      {[]Entry{limited(Allowance{DefaultCost: -3})}, "plain request is negative"},
 		"unit that is none":   {[]Entry{limited(Allowance{Unit: 7})}, "unit is not known"},
-		"negative precedence": {[]Entry{{Customer: Customer{Name: "a", Ranked: true, Priority: -1}}}, "priority is negative"},
+		"negative precedence": {[]Entry{{Customer: Customer{Name: "a", HasPriority: true, Priority: -1}}}, "priority is negative"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -53,7 +53,7 @@
 	is := is.New(t)
 	b, err := NewBook(testDigester, []Entry{entry("a", "k1", "k2"), entry("none")})
 	is.NoErr(err)
-	given := func(k Key) Credential { return Credential{Key: k, Given: true} }
+	given := func(k Key) Credential { return Credential{Key: k, Present: true} }
 	for _, tc := range []struct {
 		c         Credential
 		anonymous bool
@@ -65,7 +65,7 @@
 		{given("k3"), false, Unknown, ""},
 		{given("k3"), true, Unknown, ""}, // an unknown key is refused even if none is required
 		{given(""), true, Unknown, ""},
-		{Credential{Given: true, Bad: true, Key: "k1"}, false, Unknown, ""},
+		{Credential{Present: true, Malformed: true, Key: "k1"}, false, Unknown, ""},
 		{Credential{}, false, Unknown, ""},
 		{Credential{}, true, Anonymous, ""},
 	} {
@@ -83,7 +83,7 @@
 // Guards against a key that is printed by a log line, an error or an encoder.
 func TestKeysAndDigestsPrintAsPlaceholders(t *testing.T) {
 	is := is.New(t)
-	c := Credential{Key: "s3cret", Given: true}
+	c := Credential{Key: "s3cret", Present: true}
 	raw, err := json.Marshal(c)
 	is.NoErr(err)
 	d := testDigester.Digest("s3cret")
@@ -96,7 +96,7 @@
 func TestCostOfARequest(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Allowance{Unit: Requests}.Cost(900, true), 1.0)
-	tokens := Allowance{Unit: Tokens, Plain: 200}
+	tokens := Allowance{Unit: Tokens, DefaultCost: 200}
 	is.Equal(tokens.Cost(900, true), 900.0)
 	is.Equal(tokens.Cost(0, false), 200.0)
 	is.Equal(tokens.Cost(-5, true), 0.0) // a negative size does not add to the allowance
--- a/internal/core/deploy/deploy.go
+++ b/internal/core/deploy/deploy.go
@@ -32,19 +32,19 @@
 
 // Route maps requests of a host and path prefix to services.
 type Route struct {
-	Name      string
-	Host      string
-	Prefix    string // begins and ends with a slash
-	Repeat    Repeat
-	Timeout   time.Duration // maximum time for which a caller waits
-	Objective time.Duration // answers within it count fully
-	MaxGap    time.Duration // longest pause between events of a stream that is on time
-	Patience  time.Duration // callers abandon a stream without events for this long, also before the first; 0 if they do not
-	Priority  int           // 0 is the most urgent
-	Attempts  int           // maximum number of endpoints on which one request is run
-	Resumable bool          // an interrupted stream may be continued at another endpoint
-	Anonymous bool          // callers need no key
-	Backends  []Backend
+	Name         string
+	Host         string
+	Prefix       string // begins and ends with a slash
+	Repeat       Repeat
+	Timeout      time.Duration // maximum time for which a caller waits
+	Objective    time.Duration // answers within it count fully
+	MaxGap       time.Duration // longest pause between events of a stream that is on time
+	SilenceLimit time.Duration // callers abandon a stream without events for this long, also before the first; 0 if they do not
+	Priority     int           // 0 is the most urgent
+	Attempts     int           // maximum number of endpoints on which one request is run
+	Resumable    bool          // an interrupted stream may be continued at another endpoint
+	Anonymous    bool          // callers need no key
+	Backends     []Backend
 }
 
 // MayRepeat reports whether a request whose outcome is unknown may be sent again.
@@ -68,13 +68,13 @@
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	Slots         int     // requests that an endpoint runs concurrently
-	KVTokens      int     // tokens that fit in its memory for running requests
-	Weights       int64   // megabytes for weights and adapters together
-	AdapterPlaces int     // adapters that an endpoint holds at the same time
-	EventTokens   int     // tokens in one event of a stream; 0 if not stated
-	StoreLoads    float64 // loads a second from the weight store, over all endpoints
-	Models        map[string]*Model
+	Slots          int     // requests that an endpoint runs concurrently
+	KVTokens       int     // tokens that fit in its memory for running requests
+	ModelMegabytes int64   // megabytes for weights and adapters together
+	AdapterSlots   int     // adapters that an endpoint holds at the same time
+	EventTokens    int     // tokens in one event of a stream; 0 if not stated
+	StoreLoads     float64 // loads a second from the weight store, over all endpoints
+	Models         map[string]*Model
 }
 
 // Model is one model of an engine.
--- a/internal/core/fleet/adapters.go
+++ b/internal/core/fleet/adapters.go
@@ -16,8 +16,8 @@
 		if m == nil || !e.has(Want{Model: want.Model}) || e.has(want) || !e.usable(now) || e.order != nil || !e.known || e.needsReport {
 			continue
 		}
-		cost := float64(e.running)/float64(max(e.ep.Slots, 1)) + float64(e.adapterCount())/float64(max(eng.AdapterPlaces, 1))
-		if e.adapterCount() >= eng.AdapterPlaces {
+		cost := float64(e.running)/float64(max(e.ep.Slots, 1)) + float64(e.adapterCount())/float64(max(eng.AdapterSlots, 1))
+		if e.adapterCount() >= eng.AdapterSlots {
 			if _, ok := p.lruAdapter(now, e); !ok {
 				continue
 			}
@@ -30,7 +30,7 @@
 		return
 	}
 	eng, _ := p.spec(best, want.Model)
-	if best.adapterCount() >= eng.AdapterPlaces {
+	if best.adapterCount() >= eng.AdapterSlots {
 		old, _ := p.lruAdapter(now, best)
 		p.issue(now, best, Order{Op: Unload, Want: old, Reason: "makes way for " + want.Model + "/" + want.Adapter}, unloadTime, w)
 		return
--- a/internal/core/fleet/adapters_test.go
+++ b/internal/core/fleet/adapters_test.go
@@ -18,7 +18,7 @@
 	}
 	want := Want{Model: "m0", Adapter: "a7"}
 	for range 60 {
-		s.p.Hear(s.now, "entry", []Demand{{Want: want, Waiting: 1}}, []Use{{Endpoint: "e00", Want: Want{Model: "m0", Adapter: "a1"}, Running: 1}})
+		s.p.RecordDemand(s.now, "entry", []Demand{{Want: want, Waiting: 1}}, []Use{{Endpoint: "e00", Want: Want{Model: "m0", Adapter: "a1"}, Running: 1}})
 		s.step()
 	}
 	is.True(s.held(want))
@@ -37,17 +37,17 @@
 	s.step()
 	s.list()
 	s.run(60)
-	s.p.Hear(s.now, "entry", []Demand{{Want: Want{Model: "m0", Adapter: "a2"}, Waiting: 1}}, nil) // an order that is accepted
+	s.p.RecordDemand(s.now, "entry", []Demand{{Want: Want{Model: "m0", Adapter: "a2"}, Waiting: 1}}, nil) // an order that is accepted
 	s.run(60)
 	for _, a := range []string{"a4", "a5", "a6", "a7"} {
 		want := Want{Model: "m0", Adapter: a}
-		s.p.Hear(s.now, "entry", []Demand{{Want: want, Waiting: 1}}, nil)
+		s.p.RecordDemand(s.now, "entry", []Demand{{Want: want, Waiting: 1}}, nil)
 		took := 0
 		for ; took < 40 && !s.held(want); took++ {
 			s.step()
 		}
 		is.True(took <= 10) // 0.1 s: an immediate unload and a load of 10 ms
-		s.p.Hear(s.now, "entry", nil, nil)
+		s.p.RecordDemand(s.now, "entry", nil, nil)
 		s.run(40)
 	}
 	is.Equal(s.busyAnswers, 0)
@@ -65,7 +65,7 @@
 	s.list()
 	s.run(60)
 	want := Want{Model: "m0", Adapter: "a1"}
-	s.p.Hear(s.now, "entry", []Demand{{Want: want, Waiting: 3}}, []Use{{Endpoint: "e00", Want: want, Running: 30}})
+	s.p.RecordDemand(s.now, "entry", []Demand{{Want: want, Waiting: 3}}, []Use{{Endpoint: "e00", Want: want, Running: 30}})
 	s.run(60)
 	is.Equal(s.redundantLoads, 0)
 }
@@ -87,7 +87,7 @@
 		for a := range 8 {
 			ds = append(ds, Demand{Want: Want{Model: "m0", Adapter: fmt.Sprintf("a%d", (a+i/7)%8)}, Waiting: 1})
 		}
-		s.p.Hear(s.now, "entry", ds, nil)
+		s.p.RecordDemand(s.now, "entry", ds, nil)
 		s.step()
 		is.Equal(s.crashed(), "")
 	}
--- a/internal/core/fleet/age_test.go
+++ b/internal/core/fleet/age_test.go
@@ -13,14 +13,14 @@
 func startWithLoad(t *testing.T) (*simulation, time.Time) {
 	t.Helper()
 	s := newSimulation(1, 1, 4, 0)
-	s.p.cfg.RoomAhead = 0
+	s.p.cfg.Headroom = 0
 	s.step()
 	s.list()
 	s.run(60)
 	startedAt := s.now
-	s.p.Hear(s.now, "entry", []Demand{{Want: Want{Model: "m0"}, Arrived: 1, Waiting: 1, Earliest: 10 * time.Second}}, nil)
+	s.p.RecordDemand(s.now, "entry", []Demand{{Want: Want{Model: "m0"}, Arrived: 1, Waiting: 1, Earliest: 10 * time.Second}}, nil)
 	s.run(50)
-	s.p.Hear(s.now, "entry", nil, nil)
+	s.p.RecordDemand(s.now, "entry", nil, nil)
 	if !s.p.engines["e00"].has(Want{Model: "m0"}) {
 		t.Fatal("m0 was not loaded")
 	}
--- a/internal/core/fleet/bench_test.go
+++ b/internal/core/fleet/bench_test.go
@@ -27,7 +27,7 @@
 				ds = append(ds, Demand{Want: Want{Model: fmt.Sprintf("m%d", (m+40)%size.models)}, Arrived: 1, Waiting: 1, Earliest: time.Second})
 			}
 			for b.Loop() {
-				s.p.Hear(s.now, "entry", ds, nil)
+				s.p.RecordDemand(s.now, "entry", ds, nil)
 				s.p.Plan(s.now)
 				b.StopTimer()
 				for _, e := range s.p.engines {
--- a/internal/core/fleet/demand.go
+++ b/internal/core/fleet/demand.go
@@ -11,7 +11,7 @@
 type Demand struct {
 	Want     Want          `json:"want"`
 	Arrived  int           `json:"arrived,omitempty"`  // requests accepted
-	Away     int           `json:"away,omitempty"`     // requests refused until the model is held
+	Refused  int           `json:"away,omitempty"`     // requests refused until the model is held
 	Waiting  int           `json:"waiting,omitempty"`  // requests that no engine can accept now
 	Oldest   time.Duration `json:"oldest,omitempty"`   // age of the oldest waiting request
 	Earliest time.Duration `json:"earliest,omitempty"` // least time left of a waiting request
--- a/internal/core/fleet/engine.go
+++ b/internal/core/fleet/engine.go
@@ -163,7 +163,7 @@
 // markUsed records the time at which requests ran.
 func (e *engine) markUsed(u Use, now time.Time) {
 	h, ok := e.held[u.Want.Model]
-	if !ok || u.Running+u.Begun == 0 {
+	if !ok || u.Running+u.Sent == 0 {
 		return
 	}
 	h.lastUsed = now
@@ -266,5 +266,5 @@
 			largest = max(largest, m.AdapterSize)
 		}
 	}
-	return largest * int64(eng.AdapterPlaces)
+	return largest * int64(eng.AdapterSlots)
 }
--- a/internal/core/fleet/eta.go
+++ b/internal/core/fleet/eta.go
@@ -175,9 +175,9 @@
 	etaPart = 10
 )
 
-// NoteETAs records the models whose new ETAs are to be sent to the entries where requests
+// RecordETAs records the models whose new ETAs are to be sent to the entries where requests
 // wait for them.
-func (p *Planner) NoteETAs(changed []ETA) {
+func (p *Planner) RecordETAs(changed []ETA) {
 	for _, o := range changed {
 		if o.In > 0 {
 			p.newETAs[o.Model] = true
@@ -188,9 +188,9 @@
 // ETATable keeps published ETAs as instants.
 type ETATable map[string]time.Time
 
-// Take replaces the table's content by the present ETAs and returns what changed; a removed
+// Update replaces the table's content by the present ETAs and returns what changed; a removed
 // ETA has an In of 0.
-func (t ETATable) Take(now time.Time, all []ETA) []ETA {
+func (t ETATable) Update(now time.Time, all []ETA) []ETA {
 	var changed []ETA
 	listed := make(map[string]bool, len(all))
 	for _, o := range all {
--- a/internal/core/fleet/eta_test.go
+++ b/internal/core/fleet/eta_test.go
@@ -10,7 +10,7 @@
 // newEmptyDisks returns a simulation of engines with empty disks, after their first reports.
 func newEmptyDisks(engines, models int) *simulation {
 	s := newSimulation(1, engines, models, 0)
-	s.p.cfg.RoomAhead = 0
+	s.p.cfg.Headroom = 0
 	for _, e := range s.engines {
 		clear(e.disk)
 	}
@@ -24,9 +24,9 @@
 func (s *simulation) deferRequests(models ...string) {
 	var ds []Demand
 	for _, m := range models {
-		ds = append(ds, Demand{Want: Want{Model: m}, Arrived: 1, Away: 1})
+		ds = append(ds, Demand{Want: Want{Model: m}, Arrived: 1, Refused: 1})
 	}
-	s.p.Hear(s.now, "entry", ds, nil)
+	s.p.RecordDemand(s.now, "entry", ds, nil)
 }
 
 // eta returns the ETA of a model; 0 if there is none.
@@ -84,7 +84,7 @@
 	s.engines["e00"].disk["m0"] = true
 	s.run(15) // the list lags
 	s.list()
-	s.p.Hear(s.now, "entry", []Demand{{Want: Want{Model: "m0"}, Arrived: 1, Waiting: 1, Earliest: time.Second}}, nil)
+	s.p.RecordDemand(s.now, "entry", []Demand{{Want: Want{Model: "m0"}, Arrived: 1, Waiting: 1, Earliest: time.Second}}, nil)
 	s.p.Plan(s.now)
 	is.Equal(s.eta("m0"), time.Duration(0))
 }
@@ -136,22 +136,22 @@
 func TestOnlyChangedETAsArePublished(t *testing.T) {
 	is := is.New(t)
 	f, now := ETATable{}, time.Unix(1e6, 0)
-	is.Equal(len(f.Take(now, []ETA{{"a", 10 * time.Second}, {"b", 4 * time.Second}})), 2)
+	is.Equal(len(f.Update(now, []ETA{{"a", 10 * time.Second}, {"b", 4 * time.Second}})), 2)
 	now = now.Add(time.Second)
-	is.Equal(len(f.Take(now, []ETA{{"a", 9 * time.Second}, {"b", 3 * time.Second}})), 0)
-	is.Equal(f.Take(now, []ETA{{"a", 9 * time.Second}, {"b", 6 * time.Second}}), []ETA{{"b", 6 * time.Second}})
-	is.Equal(f.Take(now, []ETA{{"a", 9 * time.Second}}), []ETA{{Model: "b"}}) // no longer known
-	is.Equal(len(f.Take(now, []ETA{{"a", 9 * time.Second}})), 0)
+	is.Equal(len(f.Update(now, []ETA{{"a", 9 * time.Second}, {"b", 3 * time.Second}})), 0)
+	is.Equal(f.Update(now, []ETA{{"a", 9 * time.Second}, {"b", 6 * time.Second}}), []ETA{{"b", 6 * time.Second}})
+	is.Equal(f.Update(now, []ETA{{"a", 9 * time.Second}}), []ETA{{Model: "b"}}) // no longer known
+	is.Equal(len(f.Update(now, []ETA{{"a", 9 * time.Second}})), 0)
 }
 
 // A retry after the given time must find the model ready: it is not before the ETA, and
 // callers that were refused at the same time are spread over some time after it.
 func TestRetriesFollowTheETA(t *testing.T) {
 	is := is.New(t)
-	low := ComeBackAt(13*time.Second, func(int64) int64 { return 0 })
-	high := ComeBackAt(13*time.Second, func(n int64) int64 { return n - 1 })
+	low := RetryAfterReady(13*time.Second, func(int64) int64 { return 0 })
+	high := RetryAfterReady(13*time.Second, func(n int64) int64 { return n - 1 })
 	is.Equal(low, 13*time.Second)
 	is.True(high > 14*time.Second && high < 15*time.Second)
-	is.True(Comes(2*time.Second, 4*time.Second))
-	is.True(!Comes(13*time.Second, 4*time.Second))
+	is.True(ReadyInTime(2*time.Second, 4*time.Second))
+	is.True(!ReadyInTime(13*time.Second, 4*time.Second))
 }
--- a/internal/core/fleet/ahead.go
+++ b/internal/core/fleet/headroom.go
@@ -17,7 +17,7 @@
 			ready++
 		}
 	}
-	if float64(ready) >= p.cfg.RoomAhead*float64(engines) {
+	if float64(ready) >= p.cfg.Headroom*float64(engines) {
 		return
 	}
 	if e, v := p.cheapestVictim(now); e != nil {
--- a/internal/core/fleet/start.go
+++ b/internal/core/fleet/incarnation.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// StartID returns the ID of one incarnation of an endpoint's process: the name under which
+// IncarnationID returns the ID of one incarnation of an endpoint's process: the name under which
 // the platform lists it and, if known, when it started, in Unix milliseconds.
-func StartID(server string, born int64) EndpointID {
+func IncarnationID(server string, born int64) EndpointID {
 	if born == 0 {
 		return EndpointID(server)
 	}
@@ -23,21 +23,21 @@
 	return string(ep.ID)
 }
 
-// Latest returns the listed endpoints, each replaced by the known incarnation where the
+// LatestIncarnations returns the listed endpoints, each replaced by the known incarnation where the
 // listed one is earlier: lists and reports lag, each by a different time. A listed
 // incarnation without a start time is assumed to be the known one. Without this, an engine
 // that has restarted is considered gone, or still in its previous state, until the list has
 // caught up, and orders are decided for models that it no longer holds.
-func Latest(eps []Endpoint, known map[string]Endpoint) []Endpoint {
+func LatestIncarnations(eps []Endpoint, known map[string]Endpoint) []Endpoint {
 	out := make([]Endpoint, 0, len(eps))
 	for _, ep := range eps {
 		k, ok := known[ep.Name()]
 		switch {
-		case !ok || ep.Born > k.Born && k.Born != 0:
-		case ep.Born < k.Born && ep.Born != 0:
-			ep, ep.Untold = k, true
+		case !ok || ep.StartedAt > k.StartedAt && k.StartedAt != 0:
+		case ep.StartedAt < k.StartedAt && ep.StartedAt != 0:
+			ep, ep.Unreported = k, true
 		default:
-			ep.ID, ep.Born = k.ID, max(ep.Born, k.Born)
+			ep.ID, ep.StartedAt = k.ID, max(ep.StartedAt, k.StartedAt)
 		}
 		out = append(out, ep)
 	}
@@ -79,13 +79,13 @@
 	}
 	p.removeEngine(old)
 	p.engines[ep.ID] = n
-	p.restarts = append(p.restarts, Restart{Endpoint: ep.ID, Before: old.ep.ID})
+	p.restarts = append(p.restarts, Restart{Endpoint: ep.ID, Previous: old.ep.ID})
 }
 
 // Restart reports that an endpoint's process was found to have restarted.
 type Restart struct {
 	Endpoint EndpointID
-	Before   EndpointID
+	Previous EndpointID
 }
 
 // pruneInherited drops the late loads of earlier incarnations that can no longer be
@@ -107,9 +107,9 @@
 // whether that is a later one.
 func (e *engine) restarted(now time.Time, r Report) (other, later bool) {
 	switch {
-	case r.Born != 0 && e.ep.Born != 0:
-		return r.Born != e.ep.Born, r.Born > e.ep.Born
-	case e.ep.Born != 0 || r.Born != 0:
+	case r.StartedAt != 0 && e.ep.StartedAt != 0:
+		return r.StartedAt != e.ep.StartedAt, r.StartedAt > e.ep.StartedAt
+	case e.ep.StartedAt != 0 || r.StartedAt != 0:
 		return false, false
 	}
 	// Neither start time is known: a sequence number that is lower for longer than reports
--- a/internal/core/fleet/start_test.go
+++ b/internal/core/fleet/incarnation_test.go
@@ -112,17 +112,17 @@
 	is.Equal(s.p.Endpoints()[0].ID, EndpointID("e00@1000"))
 	e.restart(s.now)
 	first := s.now.UnixMilli()
-	s.p.Hear(s.now, "entry", nil, []Use{{Endpoint: "e00@1000", Want: Want{Model: "m1"}, Missing: true}})
+	s.p.RecordDemand(s.now, "entry", nil, []Use{{Endpoint: "e00@1000", Want: Want{Model: "m1"}, Missing: true}})
 	s.run(30)
 	s.list() // it shows the previous incarnation
 	eps := s.p.Endpoints()
 	is.Equal(len(eps), 1)
-	is.Equal(eps[0].ID, StartID("e00", first))
+	is.Equal(eps[0].ID, IncarnationID("e00", first))
 	is.Equal(len(eps[0].Held), 0)
 	s.run(100)
 	s.list()
-	is.Equal(s.p.Endpoints()[0].ID, StartID("e00", first))
-	s.p.Reported(s.now, StartID("e00", first), Report{Born: 1000, Sequence: 7, Held: []Held{{Model: "m1"}}})
+	is.Equal(s.p.Endpoints()[0].ID, IncarnationID("e00", first))
+	s.p.Reported(s.now, IncarnationID("e00", first), Report{StartedAt: 1000, Sequence: 7, Held: []Held{{Model: "m1"}}})
 	is.Equal(len(s.p.Endpoints()[0].Held), 0) // a report of the previous incarnation changes nothing
 }
 
@@ -138,7 +138,7 @@
 	s.run(50)
 	e.restart(s.now)
 	e.born = 0
-	s.p.Hear(s.now, "entry", []Demand{{Want: Want{Model: "m0"}, Waiting: 1, Earliest: 10 * time.Second}}, nil)
+	s.p.RecordDemand(s.now, "entry", []Demand{{Want: Want{Model: "m0"}, Waiting: 1, Earliest: 10 * time.Second}}, nil)
 	for range 40 {
 		s.run(20)
 		s.list()
@@ -148,16 +148,16 @@
 
 func TestLatestKeepsTheLaterIncarnation(t *testing.T) {
 	is := is.New(t)
-	known := map[string]Endpoint{"a": {ID: "a@20", Server: "a", Born: 20}, "b": {ID: "b", Server: "b"}}
-	got := Latest([]Endpoint{
-		{ID: "a@10", Server: "a", Born: 10}, {ID: "a", Server: "a"}, {ID: "a@30", Server: "a", Born: 30},
-		{ID: "b@5", Server: "b", Born: 5}, {ID: "c", Server: "c"},
+	known := map[string]Endpoint{"a": {ID: "a@20", Server: "a", StartedAt: 20}, "b": {ID: "b", Server: "b"}}
+	got := LatestIncarnations([]Endpoint{
+		{ID: "a@10", Server: "a", StartedAt: 10}, {ID: "a", Server: "a"}, {ID: "a@30", Server: "a", StartedAt: 30},
+		{ID: "b@5", Server: "b", StartedAt: 5}, {ID: "c", Server: "c"},
 	}, known)
 	is.Equal(got, []Endpoint{
-		{ID: "a@20", Server: "a", Born: 20, Untold: true}, // older than the known incarnation
-		{ID: "a@20", Server: "a", Born: 20},               // an entry without a start time
-		{ID: "a@30", Server: "a", Born: 30},
-		{ID: "b", Server: "b", Born: 5}, // the known incarnation, now with its start time
+		{ID: "a@20", Server: "a", StartedAt: 20, Unreported: true}, // older than the known incarnation
+		{ID: "a@20", Server: "a", StartedAt: 20},                   // an entry without a start time
+		{ID: "a@30", Server: "a", StartedAt: 30},
+		{ID: "b", Server: "b", StartedAt: 5}, // the known incarnation, now with its start time
 		{ID: "c", Server: "c"},
 	})
 }
--- a/internal/core/fleet/orders.go
+++ b/internal/core/fleet/orders.go
@@ -7,11 +7,11 @@
 
 // Work is what the planner wants done: orders to issue and engines to query.
 type Work struct {
-	Orders  []Order
-	Queries []Query
-	Settled []Settled // since the last plan
-	Started []Restart // since the last plan
-	Refused []Want    // in quarantine since the last plan, as engines ended under their loads
+	Orders      []Order
+	Queries     []Query
+	Settled     []Settled // since the last plan
+	Restarts    []Restart // since the last plan
+	Quarantined []Want    // in quarantine since the last plan, as engines ended under their loads
 }
 
 // Query requests an engine's report.
@@ -61,8 +61,8 @@
 	p.observeResidence(now)
 	p.trackMissing(now)
 	w.Settled, p.settled = p.settled, nil
-	w.Started, p.restarts = p.restarts, nil
-	w.Refused, p.newlyQuarantined = p.newlyQuarantined, nil
+	w.Restarts, p.restarts = p.restarts, nil
+	w.Quarantined, p.newlyQuarantined = p.newlyQuarantined, nil
 	p.loadFaults.Sweep(now)
 	for _, e := range p.engines {
 		e.inherited = e.pruneInherited(now)
--- a/internal/core/fleet/planner.go
+++ b/internal/core/fleet/planner.go
@@ -36,16 +36,16 @@
 	Settle time.Duration
 	// OrderTimeout is the time after which an order without effect is investigated.
 	OrderTimeout time.Duration
-	// IdleModel is how long a busy model must be unused before it may be evicted.
-	IdleModel time.Duration
+	// ModelIdleTime is how long a busy model must be unused before it may be evicted.
+	ModelIdleTime time.Duration
 	// StoreWaitLimit is how long a request waits for an engine that has a copy, while all of
 	// those are busy, before its model is fetched from the store: a load from disk takes
 	// half a second, one from the store 6 s and more, during which the engine can load
 	// nothing else.
 	StoreWaitLimit time.Duration
-	// RoomAhead is the share of the engines that are kept able to load any model without an
+	// Headroom is the share of the engines that are kept able to load any model without an
 	// eviction first; 0 keeps none. What is evicted for it may be requested again.
-	RoomAhead float64
+	Headroom float64
 	// ByUrgency serves waiting requests in the order of the time that they have left,
 	// whether they can still be answered within their objective or not. It exists for
 	// comparison.
@@ -69,9 +69,9 @@
 		MaxEngineShare:   0.5,
 		Settle:           1500 * time.Millisecond,
 		OrderTimeout:     300 * time.Millisecond,
-		IdleModel:        200 * time.Millisecond, // reports of entries are at most this old, and an unload waits for requests
+		ModelIdleTime:    200 * time.Millisecond, // reports of entries are at most this old, and an unload waits for requests
 		StoreWaitLimit:   4500 * time.Millisecond,
-		RoomAhead:        0.4,
+		Headroom:         0.4,
 		MaxQueries:       32,
 		Backoff:          time.Second,
 	}
@@ -96,8 +96,8 @@
 	changed          bool // what was published to entries is out of date
 	residence        residence
 	copyLostAt       map[string]time.Time // model to when an engine with a copy was last lost
-	newETAs          map[string]bool      // models with a new ETA since the last call of Awaited
-	newlyHeld        map[Want]bool        // what engines have come to hold since the last call of Awaited
+	newETAs          map[string]bool      // models with a new ETA since the last call of AwaitingEntries
+	newlyHeld        map[Want]bool        // what engines have come to hold since the last call of AwaitingEntries
 	lastSpared       time.Time            // when a model in use was last evicted
 	loadFaults       *poison.Book         // ends of engines under loads of models and adapters
 	newlyQuarantined []Want               // newly in quarantine since the last plan
@@ -133,9 +133,9 @@
 	return c
 }
 
-// Awaited returns the entries at which requests wait for what engines have come to hold, or
+// AwaitingEntries returns the entries at which requests wait for what engines have come to hold, or
 // for models with a new ETA, since the last call.
-func (p *Planner) Awaited() []string {
+func (p *Planner) AwaitingEntries() []string {
 	if len(p.newlyHeld)+len(p.newETAs) == 0 {
 		return nil
 	}
@@ -168,7 +168,7 @@
 func (p *Planner) List(now, askedAt time.Time, eps []Endpoint) {
 	listed := make(map[EndpointID]bool, len(eps))
 	byName := p.byName()
-	for _, ep := range Latest(eps, p.incarnations()) {
+	for _, ep := range LatestIncarnations(eps, p.incarnations()) {
 		listed[ep.ID] = true
 		e, known := p.engines[ep.ID]
 		if old := byName[ep.Name()]; !known && old != nil {
@@ -180,12 +180,12 @@
 			p.changed = true
 			continue
 		}
-		e.ep.Born = ep.Born
+		e.ep.StartedAt = ep.StartedAt
 		if e.ep.Leaving != ep.Leaving {
 			e.ep.Leaving, p.changed = ep.Leaving, true
 			e.needsReport = true // its report contains how long it stays
 		}
-		if ep.Untold {
+		if ep.Unreported {
 			continue
 		}
 		e.setCopies(ep.Copies)
@@ -230,9 +230,9 @@
 	p.changed = true
 }
 
-// Hear records the waiting and running requests that one entry reports. They replace those
+// RecordDemand records the waiting and running requests that one entry reports. They replace those
 // of its previous report.
-func (p *Planner) Hear(now time.Time, entry string, demands []Demand, uses []Use) {
+func (p *Planner) RecordDemand(now time.Time, entry string, demands []Demand, uses []Use) {
 	waiting := map[Want]Demand{}
 	for _, d := range demands {
 		p.recordArrivals(now, d)
@@ -269,7 +269,7 @@
 		m = &model{ratedAt: now}
 		p.models[d.Want.Model] = m
 	}
-	if d.Arrived > 0 || d.Waiting > 0 || d.Away > 0 {
+	if d.Arrived > 0 || d.Waiting > 0 || d.Refused > 0 {
 		m.askedAt = now
 	}
 	m.decay(now, p.cfg.RateHalfLife)
--- a/internal/core/fleet/planner_test.go
+++ b/internal/core/fleet/planner_test.go
@@ -78,11 +78,11 @@
 	for id, e := range s.engines {
 		for m := range e.held {
 			if s.r.IntN(4) == 0 {
-				us = append(us, Use{Endpoint: StartID(string(id), e.born), Want: Want{Model: m}, Running: s.r.IntN(8), Begun: 1})
+				us = append(us, Use{Endpoint: IncarnationID(string(id), e.born), Want: Want{Model: m}, Running: s.r.IntN(8), Sent: 1})
 			}
 		}
 	}
-	s.p.Hear(s.now, "entry", ds, us)
+	s.p.RecordDemand(s.now, "entry", ds, us)
 }
 
 // requestEach reports one waiting request for each of models.
@@ -91,7 +91,7 @@
 	for _, m := range models {
 		ds = append(ds, Demand{Want: Want{Model: m}, Waiting: 1, Earliest: 5 * time.Second})
 	}
-	s.p.Hear(s.now, "entry", ds, nil)
+	s.p.RecordDemand(s.now, "entry", ds, nil)
 }
 
 // fill makes every engine hold models, and reports that to the planner.
@@ -115,7 +115,7 @@
 		s.step()
 	}
 	want := Want{Model: "m4"}
-	s.p.Hear(s.now, "entry", []Demand{{Want: want, Arrived: 1, Waiting: 1, Earliest: 20 * time.Second}}, nil)
+	s.p.RecordDemand(s.now, "entry", []Demand{{Want: want, Arrived: 1, Waiting: 1, Earliest: 20 * time.Second}}, nil)
 	took := 0
 	for ; took < 100 && !s.held(want); took++ {
 		s.step()
@@ -144,7 +144,7 @@
 		s.step()
 	}
 	for range 800 { // 8 s: the other engines have no copy and load from the store
-		s.p.Hear(s.now, "entry", []Demand{{Want: Want{Model: "m0"}, Arrived: 2}}, []Use{{Endpoint: "e00", Want: Want{Model: "m0"}, Running: 20, Begun: 2}})
+		s.p.RecordDemand(s.now, "entry", []Demand{{Want: Want{Model: "m0"}, Arrived: 2}}, []Use{{Endpoint: "e00", Want: Want{Model: "m0"}, Running: 20, Sent: 2}})
 		s.step()
 	}
 	is.True(s.p.buildSurvey(s.now).holders["m0"] >= 2)
@@ -157,7 +157,7 @@
 	s := newSimulation(1, 3, 9, 0)
 	s.fill("m1", "m3")
 	for range 300 {
-		s.p.Hear(s.now, "entry", nil, []Use{{Endpoint: "e00", Want: Want{Model: "m1"}, Running: 1}, {Endpoint: "e00", Want: Want{Model: "m3"}, Running: 1}})
+		s.p.RecordDemand(s.now, "entry", nil, []Use{{Endpoint: "e00", Want: Want{Model: "m1"}, Running: 1}, {Endpoint: "e00", Want: Want{Model: "m3"}, Running: 1}})
 		s.step()
 	}
 	is.Equal(len(s.engines["e00"].held), 2) // in use
@@ -175,7 +175,7 @@
 	s.step()
 	s.list()
 	for i := range 400 {
-		s.p.Hear(s.now, "entry", []Demand{{Want: Want{Model: "m5"}, Arrived: 1, Waiting: 1}},
+		s.p.RecordDemand(s.now, "entry", []Demand{{Want: Want{Model: "m5"}, Arrived: 1, Waiting: 1}},
 			[]Use{{Endpoint: "e00", Want: Want{Model: "m1"}, Running: 1}, {Endpoint: "e00", Want: Want{Model: "m3"}, Running: min(1, i/200)}})
 		s.step()
 	}
@@ -243,7 +243,7 @@
 		s.step()
 	}
 	old := s.engines["e00"].report()
-	s.p.Hear(s.now, "entry", []Demand{{Want: Want{Model: "m0"}, Arrived: 1, Waiting: 1}}, nil)
+	s.p.RecordDemand(s.now, "entry", []Demand{{Want: Want{Model: "m0"}, Arrived: 1, Waiting: 1}}, nil)
 	for range 45 { // a load from disk
 		s.step()
 	}
@@ -263,7 +263,7 @@
 	s := newSimulation(1, 1, 9, 0)
 	s.engines["e00"].held["m0"] = map[string]bool{}
 	s.engines["e00"].disk["m1"], s.engines["e00"].disk["m2"] = true, true
-	s.p.cfg.RoomAhead = 0
+	s.p.cfg.Headroom = 0
 	s.step()
 	s.list()
 	s.run(60)
@@ -297,7 +297,7 @@
 	p.SetDeployment(&deploy.Config{Services: map[string]*deploy.Service{"llm": {Name: "llm", Engine: testEngine(4)}}})
 	ep := Endpoint{ID: "e0", Service: "llm", Addr: "10.0.0.1:80", Slots: 8, Held: []Held{{Model: "m1"}}}
 	p.List(now, now, []Endpoint{ep})
-	p.Hear(now, "entry", []Demand{
+	p.RecordDemand(now, "entry", []Demand{
 		{Want: Want{Model: "m1"}, Arrived: 40},
 		{Want: Want{Model: "m2"}, Arrived: 8, Waiting: 2},
 		{Want: Want{Model: "m2", Adapter: "a1"}, Arrived: 1, Waiting: 1},
@@ -344,13 +344,13 @@
 	is := is.New(t)
 	s := newSimulation(1, 1, 9, 0)
 	s.fill("m1", "m3")
-	s.p.cfg.RoomAhead = 0
-	s.p.Hear(s.now, "entry", []Demand{{Want: Want{Model: "m1"}, Arrived: 20}}, nil) // m1 is busy
+	s.p.cfg.Headroom = 0
+	s.p.RecordDemand(s.now, "entry", []Demand{{Want: Want{Model: "m1"}, Arrived: 20}}, nil) // m1 is busy
 	s.run(100)
-	in := func(m string) Use { return Use{Endpoint: "e00", Want: Want{Model: m}, Begun: 1} }
-	s.p.Hear(s.now, "entry", []Demand{{Want: Want{Model: "m1"}, Arrived: 20}}, []Use{in("m1"), in("m3")}) // both have just ended
+	in := func(m string) Use { return Use{Endpoint: "e00", Want: Want{Model: m}, Sent: 1} }
+	s.p.RecordDemand(s.now, "entry", []Demand{{Want: Want{Model: "m1"}, Arrived: 20}}, []Use{in("m1"), in("m3")}) // both have just ended
 	s.now = s.now.Add(20 * time.Millisecond)
-	s.p.Hear(s.now, "entry", []Demand{{Want: Want{Model: "m4"}, Arrived: 1, Waiting: 1, Earliest: time.Second}}, nil)
+	s.p.RecordDemand(s.now, "entry", []Demand{{Want: Want{Model: "m4"}, Arrived: 1, Waiting: 1, Earliest: time.Second}}, nil)
 	w := s.p.Plan(s.now)
 	is.Equal(len(w.Orders), 1)
 	is.Equal(w.Orders[0].Op, Unload)
--- a/internal/core/fleet/deadly.go
+++ b/internal/core/fleet/quarantine.go
@@ -38,7 +38,7 @@
 	if e.ep.Leaving || l.until.IsZero() || now.After(l.until) {
 		return
 	}
-	if _, quarantined := p.loadFaults.Ended(now, poison.End{Request: l.want.fingerprint(), Start: string(e.ep.ID)}); quarantined {
+	if _, quarantined := p.loadFaults.Ended(now, poison.End{Request: l.want.fingerprint(), Incarnation: string(e.ep.ID)}); quarantined {
 		p.newlyQuarantined = append(p.newlyQuarantined, l.want)
 	}
 }
@@ -65,13 +65,13 @@
 // each as soon as its model is loaded and before any report, would put the model in
 // quarantine, and all requests for it would be refused.
 func (p *Planner) recordUsed(u Use) {
-	if u.Missing || u.Running+u.Begun == 0 {
+	if u.Missing || u.Running+u.Sent == 0 {
 		return
 	}
 	e, known := p.engines[u.Endpoint]
 	switch {
 	case !known && p.loadFaults.Len() > 0:
-		p.loadFaults.Forgive(string(u.Endpoint))
+		p.loadFaults.Retract(string(u.Endpoint))
 	case known && e.newestLoad.want.Model == u.Want.Model && (e.newestLoad.want.Adapter == "" || e.newestLoad.want == u.Want):
 		e.newestLoad = lastLoad{}
 	}
--- a/internal/core/fleet/deadly_test.go
+++ b/internal/core/fleet/quarantine_test.go
@@ -28,7 +28,7 @@
 		if i%40 == 0 {
 			s.list()
 		}
-		s.p.Hear(s.now, "entry", ask, nil)
+		s.p.RecordDemand(s.now, "entry", ask, nil)
 		s.step()
 	}
 	ended := 0
@@ -70,13 +70,13 @@
 		e := newEngine(Endpoint{ID: EndpointID(fmt.Sprint("e", i))}, now)
 		p.engines[e.ep.ID] = e
 		e.newestLoad = lastLoad{want, now.Add(loadFaultWindow)}
-		use := []Use{{Endpoint: e.ep.ID, Want: want, Begun: 1}}
+		use := []Use{{Endpoint: e.ep.ID, Want: want, Sent: 1}}
 		if i%2 == 0 { // reported before its end is detected, and after
-			p.Hear(now, "entry", nil, use)
+			p.RecordDemand(now, "entry", nil, use)
 		}
 		p.recordEnd(now, e)
 		p.removeEngine(e)
-		p.Hear(now, "entry", nil, use)
+		p.RecordDemand(now, "entry", nil, use)
 		is.True(p.mayLoad(now, want))
 	}
 }
