--- a/internal/core/fleet/results.go
+++ b/internal/core/fleet/results.go
@@ -137,8 +137,8 @@
 	return o.Op == Load && o.Source != FromStore
 }
 
-// Unreported records that a query got no answer.
-func (p *Planner) Unreported(now time.Time, id EndpointID) {
+// QueryFailed records that a query got no answer.
+func (p *Planner) QueryFailed(now time.Time, id EndpointID) {
 	if e, known := p.engines[id]; known {
 		e.querying = false
 		e.backoffUntil = now.Add(p.cfg.Backoff)
@@ -155,13 +155,13 @@
 	switch other, later := e.restarted(now, r); {
 	case later:
 		ep := e.ep
-		ep.ID, ep.Born, ep.Held, ep.Copies, ep.Leaving = StartID(ep.Name(), r.Born), r.Born, nil, r.Copies, r.Leaving
+		ep.ID, ep.StartedAt, ep.Held, ep.Copies, ep.Leaving = IncarnationID(ep.Name(), r.StartedAt), r.StartedAt, nil, r.Copies, r.Leaving
 		p.replace(now, e, ep)
 		return
 	case other:
 		return // made by an earlier incarnation; the engine is queried again
-	case e.ep.Born == 0 && r.Born != 0:
-		e.ep.Born = r.Born
+	case e.ep.StartedAt == 0 && r.StartedAt != 0:
+		e.ep.StartedAt = r.StartedAt
 	}
 	if r.Sequence < e.sequence {
 		// It was made before the newest order was accepted. Used as the current state, it
--- a/internal/core/fleet/sim_test.go
+++ b/internal/core/fleet/sim_test.go
@@ -49,7 +49,7 @@
 }
 
 func (s *simEngine) report() Report {
-	r := Report{Born: s.born, Busy: s.pending != nil, Sequence: s.sequence, Copies: Copies{Disk: slices.Sorted(maps.Keys(s.disk))}}
+	r := Report{StartedAt: s.born, Busy: s.pending != nil, Sequence: s.sequence, Copies: Copies{Disk: slices.Sorted(maps.Keys(s.disk))}}
 	for _, m := range slices.Sorted(maps.Keys(s.held)) {
 		r.Held = append(r.Held, Held{Model: m, Version: 1, Adapters: slices.Sorted(maps.Keys(s.held[m]))})
 	}
@@ -63,11 +63,11 @@
 	}
 	ep, r := s.ep, s.laggingReport(now)
 	ep.Held, ep.Copies = r.Held, r.Copies
-	ep.Server, ep.Born = string(s.ep.ID), s.born
+	ep.Server, ep.StartedAt = string(s.ep.ID), s.born
 	if s.hidesStart {
-		ep.Born = 0
+		ep.StartedAt = 0
 	}
-	ep.ID = StartID(ep.Server, ep.Born)
+	ep.ID = IncarnationID(ep.Server, ep.StartedAt)
 	return ep
 }
 
@@ -146,7 +146,7 @@
 	if loading != "" {
 		mb += s.spec.Models[loading].Megabytes
 	}
-	if mb > s.spec.Weights || places > s.spec.AdapterPlaces {
+	if mb > s.spec.ModelMegabytes || places > s.spec.AdapterSlots {
 		s.crashed = fmt.Sprintf("%s was ordered to hold %d MB and %d adapters", s.ep.ID, mb, places)
 	}
 }
@@ -172,7 +172,7 @@
 }
 
 func testEngine(models int) *deploy.Engine {
-	e := &deploy.Engine{Slots: 32, Weights: 83000, AdapterPlaces: 3, Models: map[string]*deploy.Model{}}
+	e := &deploy.Engine{Slots: 32, ModelMegabytes: 83000, AdapterSlots: 3, Models: map[string]*deploy.Model{}}
 	for i := range models {
 		mb := int64(16100)
 		if i%2 == 1 {
--- a/internal/core/fleet/spare_test.go
+++ b/internal/core/fleet/spare_test.go
@@ -21,7 +21,7 @@
 	for id, models := range places {
 		for _, m := range models {
 			s.engines[id].held[m] = map[string]bool{}
-			uses = append(uses, Use{Endpoint: id, Want: Want{Model: m}, Running: 1, Begun: 1})
+			uses = append(uses, Use{Endpoint: id, Want: Want{Model: m}, Running: 1, Sent: 1})
 		}
 	}
 	s.step()
@@ -29,7 +29,7 @@
 	want := Want{Model: "m11"}
 	for i := 0; i < 1000 && !s.held(want); i++ { // 10 s
 		at := time.Duration(i) * simStep
-		s.p.Hear(s.now, "entry", []Demand{{Want: want, Waiting: 1, Oldest: at, Earliest: 12*time.Second - at}}, uses)
+		s.p.RecordDemand(s.now, "entry", []Demand{{Want: want, Waiting: 1, Oldest: at, Earliest: 12*time.Second - at}}, uses)
 		s.step()
 	}
 	is.True(s.held(want))
@@ -44,7 +44,7 @@
 	for id, models := range map[EndpointID][]string{"e00": {"m1", "m3"}, "e01": {"m1", "m5"}, "e02": {"m7", "m9"}} {
 		for _, m := range models {
 			s.engines[id].held[m] = map[string]bool{}
-			uses = append(uses, Use{Endpoint: id, Want: Want{Model: m}, Running: 1, Begun: 1})
+			uses = append(uses, Use{Endpoint: id, Want: Want{Model: m}, Running: 1, Sent: 1})
 		}
 	}
 	s.step()
@@ -55,7 +55,7 @@
 		arrived += rate * simStep.Seconds()
 		n := int(arrived)
 		arrived -= float64(n)
-		s.p.Hear(s.now, "entry", []Demand{{Want: want, Waiting: 1, Oldest: time.Second, Earliest: 5 * time.Second}, {Want: Want{Model: "m1"}, Arrived: n}}, uses)
+		s.p.RecordDemand(s.now, "entry", []Demand{{Want: want, Waiting: 1, Oldest: time.Second, Earliest: 5 * time.Second}, {Want: Want{Model: "m1"}, Arrived: n}}, uses)
 		s.step()
 	}
 	return s.held(want)
--- a/internal/core/fleet/store_test.go
+++ b/internal/core/fleet/store_test.go
@@ -16,7 +16,7 @@
 func TestCrowdedModelIsFetchedIfItsCopiesAreOutOfReach(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(1, 3, 9, 0)
-	s.p.cfg.RoomAhead = 0 // the third engine must stay full
+	s.p.cfg.Headroom = 0 // the third engine must stay full
 	for _, e := range s.engines {
 		e.disk = map[string]bool{}
 	}
@@ -30,7 +30,7 @@
 	s.run(60)
 	for i := range 100 { // 1 s
 		at := time.Duration(i) * simStep
-		s.p.Hear(s.now, "entry",
+		s.p.RecordDemand(s.now, "entry",
 			[]Demand{{Want: Want{Model: "m0"}, Arrived: i % 2, Waiting: 8, Oldest: at, Earliest: 12*time.Second - at}, {Want: Want{Model: "m2"}, Waiting: 1, Oldest: at, Earliest: time.Second}},
 			[]Use{{Endpoint: "e00", Want: Want{Model: "m0"}, Running: 40}, {Endpoint: "e01", Want: Want{Model: "m1"}, Running: 1}, {Endpoint: "e01", Want: Want{Model: "m3"}, Running: 1}})
 		s.step()
@@ -54,7 +54,7 @@
 	busy := s.p.engines["e00"]
 	busy.order = &pendingOrder{Order: Order{Endpoint: "e00", Op: Load, Want: Want{Model: "m3"}}, issuedAt: s.now, due: s.now.Add(time.Hour)}
 	ask := func(oldest time.Duration) Work {
-		s.p.Hear(s.now, "entry", []Demand{{Want: Want{Model: "m0"}, Arrived: 1, Waiting: 1, Oldest: oldest, Earliest: 15 * time.Second}}, nil)
+		s.p.RecordDemand(s.now, "entry", []Demand{{Want: Want{Model: "m0"}, Arrived: 1, Waiting: 1, Oldest: oldest, Earliest: 15 * time.Second}}, nil)
 		return s.p.Plan(s.now)
 	}
 	is.Equal(len(ask(time.Second).Orders), 0)
@@ -80,7 +80,7 @@
 	s.list()
 	var begun []time.Time
 	for i := range 2000 {
-		s.p.Hear(s.now, "entry", []Demand{{Want: Want{Model: fmt.Sprintf("m%d", i%30)}, Arrived: 1, Waiting: 1}}, nil)
+		s.p.RecordDemand(s.now, "entry", []Demand{{Want: Want{Model: fmt.Sprintf("m%d", i%30)}, Arrived: 1, Waiting: 1}}, nil)
 		before := s.p.store.inFlight
 		s.step()
 		for range s.p.store.inFlight - before {
@@ -184,7 +184,7 @@
 	s.step()
 	s.list()
 	for i := range 6000 {
-		s.p.Hear(s.now, "entry", []Demand{{Want: Want{Model: fmt.Sprintf("m%d", i%60)}, Arrived: 1, Waiting: 1}}, nil)
+		s.p.RecordDemand(s.now, "entry", []Demand{{Want: Want{Model: fmt.Sprintf("m%d", i%60)}, Arrived: 1, Waiting: 1}}, nil)
 		s.step()
 	}
 	is.True(s.maxStoreLoads > DefaultConfig().StoreConcurrency) // it is used
--- a/internal/core/fleet/survey.go
+++ b/internal/core/fleet/survey.go
@@ -76,7 +76,7 @@
 
 // free returns the megabytes that an engine has free for models.
 func (p *Planner) free(e *engine, eng *deploy.Engine) int64 {
-	return eng.Weights - e.weights(eng) - p.survey.limitsOf(eng).reserve
+	return eng.ModelMegabytes - e.weights(eng) - p.survey.limitsOf(eng).reserve
 }
 
 // limitsOf returns what follows from an engine's description.
@@ -103,7 +103,7 @@
 // request arrives after all, the unload waits for it, or the engine answers that it did not
 // run it.
 func (p *Planner) idleTime(now time.Time, name string) time.Duration {
-	return time.Duration(float64(p.cfg.IdleModel) * min(1, p.rate(now, name)/busyRate))
+	return time.Duration(float64(p.cfg.ModelIdleTime) * min(1, p.rate(now, name)/busyRate))
 }
 
 // busyRate is the rate, in requests a second, from which a model is kept for the whole idle
--- a/internal/core/fleet/types.go
+++ b/internal/core/fleet/types.go
@@ -7,39 +7,39 @@
 	"github.com/cassiapass/cassiapass/internal/core/ident"
 )
 
-// EndpointID identifies one incarnation of an endpoint's process: see StartID. After a
+// EndpointID identifies one incarnation of an endpoint's process: see IncarnationID. After a
 // restart the endpoint has another ID, even if the platform lists it under the same name,
 // and nothing known of the previous incarnation applies.
 type EndpointID string
 
 // Endpoint is one endpoint as the platform lists it.
 type Endpoint struct {
-	ID      EndpointID `json:"id"`
-	Server  string     `json:"server,omitempty"` // the platform's name for it; the ID if empty
-	Born    int64      `json:"born,omitempty"`   // when its process started, Unix milliseconds; 0 if unknown
-	Service string     `json:"service"`
-	Addr    string     `json:"addr"` // IP number and port
-	Zone    ident.Zone `json:"zone"`
-	Slots   int        `json:"slots"`
-	Leaving bool       `json:"leaving,omitempty"` // accepts no new requests
-	Held    []Held     `json:"held,omitempty"`
-	Copies  Copies     `json:"copies,omitzero"`
-	Untold  bool       `json:"-"` // Held and Copies are unknown, or of another incarnation
+	ID         EndpointID `json:"id"`
+	Server     string     `json:"server,omitempty"` // the platform's name for it; the ID if empty
+	StartedAt  int64      `json:"born,omitempty"`   // when its process started, Unix milliseconds; 0 if unknown
+	Service    string     `json:"service"`
+	Addr       string     `json:"addr"` // IP number and port
+	Zone       ident.Zone `json:"zone"`
+	Slots      int        `json:"slots"`
+	Leaving    bool       `json:"leaving,omitempty"` // accepts no new requests
+	Held       []Held     `json:"held,omitempty"`
+	Copies     Copies     `json:"copies,omitzero"`
+	Unreported bool       `json:"-"` // Held and Copies are unknown, or of another incarnation
 }
 
 // Listing is the result of reading the platform's list of endpoints.
 type Listing struct {
 	Endpoints []Endpoint
 	Calls     int // calls that the read took; the platform limits their rate
-	// Unreadable is the number of entries that describe no usable endpoint, and Why the
+	// Unreadable is the number of entries that describe no usable endpoint, and Reason the
 	// fault of the first of them.
 	Unreadable int
-	Why        string
+	Reason     string
 }
 
-// ErrTooOften reports that the platform refused to return its list because it received too
+// ErrRateLimited reports that the platform refused to return its list because it received too
 // many calls, from this process or others.
-var ErrTooOften = errors.New("too many calls for the list of endpoints")
+var ErrRateLimited = errors.New("too many calls for the list of endpoints")
 
 // Held is a model that an engine holds ready to run.
 type Held struct {
@@ -56,16 +56,16 @@
 
 // Report is an engine's report of its own state. It lags by some 100 ms.
 type Report struct {
-	Born     int64  // when the reporting process started, as in Endpoint
-	Busy     bool   // a load or unload of weights is in progress
-	Sequence uint64 // orders accepted since the engine started
-	Held     []Held
-	Pending  []string // adapters being loaded, as model/adapter
-	Copies   Copies
-	Queued   int
-	Active   int
-	Leaving  bool          // it accepts no new requests
-	Stays    time.Duration // time until a leaving endpoint is removed; 0 if unknown
+	StartedAt int64  // when the reporting process started, as in Endpoint
+	Busy      bool   // a load or unload of weights is in progress
+	Sequence  uint64 // orders accepted since the engine started
+	Held      []Held
+	Pending   []string // adapters being loaded, as model/adapter
+	Copies    Copies
+	Queued    int
+	Active    int
+	Leaving   bool          // it accepts no new requests
+	RemovedIn time.Duration // time until a leaving endpoint is removed; 0 if unknown
 }
 
 // Want names the model, and the adapter if any, that a request needs an engine to hold.
@@ -137,6 +137,6 @@
 	Endpoint EndpointID `json:"endpoint"`
 	Want     Want       `json:"want"`
 	Running  int        `json:"running"`           // requests in progress now
-	Begun    int        `json:"begun,omitempty"`   // requests sent since the entry's last report
+	Sent     int        `json:"begun,omitempty"`   // requests sent since the entry's last report
 	Missing  bool       `json:"missing,omitempty"` // the engine said that it does not hold it
 }
--- a/internal/core/fleet/wait.go
+++ b/internal/core/fleet/wait.go
@@ -21,10 +21,10 @@
 	queueShare = 0.25
 )
 
-// Hold returns how long a request may wait for an endpoint from now on. left is the time
+// MaxWait returns how long a request may wait for an endpoint from now on. left is the time
 // left until its caller's limit, waitLimit the caller's wait limit for a silent stream, 0 if
 // it has none, and age the time since the request arrived.
-func Hold(left, waitLimit, age time.Duration) time.Duration {
+func MaxWait(left, waitLimit, age time.Duration) time.Duration {
 	hold := time.Duration(float64(left) * holdShare)
 	if waitLimit > 0 {
 		hold = min(hold, time.Duration(float64(waitLimit)*waitLimitShare)-age)
@@ -32,24 +32,24 @@
 	return max(hold, 0)
 }
 
-// ComeBack returns the time after which a refused caller should retry. draw returns a random
+// RetryAfter returns the time after which a refused caller should retry. draw returns a random
 // number below its argument.
-func ComeBack(draw func(int64) int64) time.Duration {
+func RetryAfter(draw func(int64) int64) time.Duration {
 	return retryAfter/2 + time.Duration(draw(int64(retryAfter)))
 }
 
-// Comes reports whether a model that is ready in the given time is ready for a request that
+// ReadyInTime reports whether a model that is ready in the given time is ready for a request that
 // may wait for hold. If not, the caller is refused at once with the time to retry after,
 // instead of after a useless wait.
-func Comes(ready, hold time.Duration) bool { return ready <= hold }
+func ReadyInTime(ready, hold time.Duration) bool { return ready <= hold }
 
 // etaSpread is the share of an ETA over which the retries of refused callers are spread
 // after it, so that they arrive neither before it nor all at the same time.
 const etaSpread = 0.1
 
-// ComeBackAt returns the time after which a caller should retry whose model is ready in the
+// RetryAfterReady returns the time after which a caller should retry whose model is ready in the
 // given time at the earliest.
-func ComeBackAt(ready time.Duration, draw func(int64) int64) time.Duration {
+func RetryAfterReady(ready time.Duration, draw func(int64) int64) time.Duration {
 	spread := max(time.Duration(float64(ready)*etaSpread), retryAfter/2)
 	return ready + time.Duration(draw(int64(spread)))
 }
--- a/internal/core/ledger/ledger.go
+++ b/internal/core/ledger/ledger.go
@@ -92,7 +92,7 @@
 	Memory       int64
 	HonoursFence bool
 	LongestOrder time.Duration // maximum time between sending an order and its effect at the engine
-	AskEvery     time.Duration // minimum interval between list orders
+	ListInterval time.Duration // minimum interval between list orders
 }
 
 // Ledger is the memory account of one endpoint. It is not safe for concurrent use.
@@ -120,8 +120,8 @@
 // waits for LongestOrder.
 func (l *Ledger) Registered(floor ident.Index) { l.floor = max(l.floor, floor) }
 
-// FloorSet records that the engine has confirmed the floor.
-func (l *Ledger) FloorSet(now time.Time) {
+// FloorConfirmed records that the engine has confirmed the floor.
+func (l *Ledger) FloorConfirmed(now time.Time) {
 	if l.cfg.HonoursFence {
 		l.quarantine = now
 	}
@@ -141,8 +141,8 @@
 // Peak returns the maximum of Used at any load order so far.
 func (l *Ledger) Peak() int64 { return l.peak }
 
-// Decide applies a new or changed grant.
-func (l *Ledger) Decide(now time.Time, g Grant) {
+// ApplyGrant applies a new or changed grant.
+func (l *Ledger) ApplyGrant(now time.Time, g Grant) {
 	e := l.entries[g.ID]
 	if e == nil {
 		e = l.adopt(now, g)
@@ -193,8 +193,8 @@
 	e.phase, e.since, e.reported = p, now, false
 }
 
-// Suspect makes Orders request the engine's list again.
-func (l *Ledger) Suspect() { l.needsList = true }
+// RequestList makes Orders request the engine's list again.
+func (l *Ledger) RequestList() { l.needsList = true }
 
 // Sync applies the engine's list of replicas, requested at the time asked. Replicas
 // without a grant count at once and are unloaded; entries in an uncertain state
@@ -331,7 +331,7 @@
 
 // listOrder returns a list order, at most one per interval of the configuration.
 func (l *Ledger) listOrder(now time.Time) []Order {
-	if !l.listedAt.IsZero() && now.Sub(l.listedAt) < l.cfg.AskEvery {
+	if !l.listedAt.IsZero() && now.Sub(l.listedAt) < l.cfg.ListInterval {
 		return nil
 	}
 	l.listedAt = now
@@ -383,8 +383,8 @@
 	return false
 }
 
-// Finished applies the outcome of an order and returns the events for control.
-func (l *Ledger) Finished(now time.Time, o Order, out Outcome) []Event {
+// OrderEnded applies the outcome of an order and returns the events for control.
+func (l *Ledger) OrderEnded(now time.Time, o Order, out Outcome) []Event {
 	e := l.entries[o.ID]
 	if e == nil {
 		return nil
@@ -408,9 +408,9 @@
 	return nil
 }
 
-// Withdraw removes waiting grants that are to be drained. No order was sent for
+// RemoveWaiting removes waiting grants that are to be drained. No order was sent for
 // them, so nothing has to be unloaded.
-func (l *Ledger) Withdraw(now time.Time) []Event {
+func (l *Ledger) RemoveWaiting(now time.Time) []Event {
 	var events []Event
 	for _, id := range l.ids() {
 		e := l.entries[id]
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -19,9 +19,9 @@
 
 // newSynced returns a ledger that is registered and synced with an empty engine.
 func newSynced(memory int64, honours bool) (*Ledger, time.Time) {
-	l := New(Config{Memory: memory, HonoursFence: honours, LongestOrder: time.Minute, AskEvery: time.Second}, start)
+	l := New(Config{Memory: memory, HonoursFence: honours, LongestOrder: time.Minute, ListInterval: time.Second}, start)
 	l.Registered(5)
-	l.FloorSet(start)
+	l.FloorConfirmed(start)
 	l.Sync(start, start, nil)
 	return l, start
 }
@@ -29,13 +29,13 @@
 func TestLoadIsReservedBeforeItIsOrdered(t *testing.T) {
 	is := is.New(t)
 	l, now := newSynced(100, true)
-	l.Decide(now, Grant{ID: 10, Target: target(1), Bytes: 60})
-	l.Decide(now, Grant{ID: 11, Target: target(2), Bytes: 60})
+	l.ApplyGrant(now, Grant{ID: 10, Target: target(1), Bytes: 60})
+	l.ApplyGrant(now, Grant{ID: 11, Target: target(2), Bytes: 60})
 	os := l.Orders(now, noneRunning)
 	is.Equal(len(os), 1) // the second does not fit
 	is.Equal(os[0].Fence, ident.Index(10))
 	is.Equal(l.Used(), int64(60))
-	ev := l.Finished(now, os[0], Done)
+	ev := l.OrderEnded(now, os[0], Done)
 	is.True(ev[0].Ready)
 	is.Equal(len(l.Orders(now, noneRunning)), 0)
 }
@@ -46,7 +46,7 @@
 func TestNewProcessWaitsOutOldOrdersWhenTheEngineIgnoresFencing(t *testing.T) {
 	is := is.New(t)
 	l, now := newSynced(100, false)
-	l.Decide(now, Grant{ID: 10, Target: target(1), Bytes: 60})
+	l.ApplyGrant(now, Grant{ID: 10, Target: target(1), Bytes: 60})
 	for _, o := range l.Orders(now, noneRunning) {
 		is.Equal(o.Kind, OrderList)
 	}
@@ -66,9 +66,9 @@
 func TestLostOrderCountsUntilTheEngineIsListed(t *testing.T) {
 	is := is.New(t)
 	l, now := newSynced(100, true)
-	l.Decide(now, Grant{ID: 10, Target: target(1), Bytes: 60})
+	l.ApplyGrant(now, Grant{ID: 10, Target: target(1), Bytes: 60})
 	o := l.Orders(now, noneRunning)[0]
-	l.Finished(now, o, Lost)
+	l.OrderEnded(now, o, Lost)
 	is.Equal(l.Used(), int64(60))
 	later := now.Add(2 * time.Second)
 	ev := l.Sync(later, later, []Held{{Target: target(1), Bytes: 60}})
@@ -82,19 +82,19 @@
 	base := target(1)
 	adapter := base
 	adapter.Adapter, adapter.AdapterVersion = "a", "1"
-	l.Decide(now, Grant{ID: 10, Target: base, Bytes: 50})
-	l.Decide(now, Grant{ID: 11, Target: adapter, Bytes: 10})
+	l.ApplyGrant(now, Grant{ID: 10, Target: base, Bytes: 50})
+	l.ApplyGrant(now, Grant{ID: 11, Target: adapter, Bytes: 10})
 	os := l.Orders(now, noneRunning)
 	is.Equal(len(os), 1) // the base first
-	l.Finished(now, os[0], Done)
+	l.OrderEnded(now, os[0], Done)
 	os = l.Orders(now, noneRunning)
-	l.Finished(now, os[0], Done)
-	l.Decide(now, Grant{ID: 10, Target: base, Bytes: 50, Drain: true})
+	l.OrderEnded(now, os[0], Done)
+	l.ApplyGrant(now, Grant{ID: 10, Target: base, Bytes: 50, Drain: true})
 	is.Equal(len(l.Orders(now, noneRunning)), 0) // still used by its adapter
-	l.Decide(now, Grant{ID: 11, Target: adapter, Bytes: 10, Drain: true})
+	l.ApplyGrant(now, Grant{ID: 11, Target: adapter, Bytes: 10, Drain: true})
 	os = l.Orders(now, noneRunning)
 	is.Equal(os[0].Target, adapter)
-	l.Finished(now, os[0], Done)
+	l.OrderEnded(now, os[0], Done)
 	is.Equal(l.Orders(now, noneRunning)[0].Target, base)
 }
 
@@ -122,11 +122,11 @@
 	const memory = 100
 	r := rand.New(rand.NewPCG(seed, 2))
 	now := start
-	cfg := Config{Memory: memory, HonoursFence: honours, LongestOrder: 20 * time.Second, AskEvery: time.Second}
+	cfg := Config{Memory: memory, HonoursFence: honours, LongestOrder: 20 * time.Second, ListInterval: time.Second}
 	l := New(cfg, now)
 	floor, next := ident.Index(1), ident.Index(2)
 	l.Registered(floor)
-	l.FloorSet(now)
+	l.FloorConfirmed(now)
 	engine := map[ident.Target]int64{}
 	grants := map[ident.Index]Grant{}
 	type delayed struct {
@@ -184,12 +184,12 @@
 				break // control grants a target once per endpoint
 			}
 			grants[g.ID] = g
-			l.Decide(now, g)
+			l.ApplyGrant(now, g)
 		case 3, 4:
 			for id, g := range grants {
 				g.Drain = true
 				grants[id] = g
-				l.Decide(now, g)
+				l.ApplyGrant(now, g)
 				break
 			}
 		case 5:
@@ -198,9 +198,9 @@
 			floor = next
 			next++
 			l.Registered(floor)
-			l.FloorSet(now)
+			l.FloorConfirmed(now)
 			for _, g := range grants {
-				l.Decide(now, g)
+				l.ApplyGrant(now, g)
 			}
 		}
 		for _, o := range l.Orders(now, noneRunning) {
@@ -214,15 +214,15 @@
 			}
 			switch r.IntN(6) {
 			case 0:
-				deliver(l.Finished(now, o, Refused))
+				deliver(l.OrderEnded(now, o, Refused))
 			case 1:
 				inFlight = append(inFlight, delayed{now.Add(time.Duration(r.IntN(15)) * time.Second), o})
-				deliver(l.Finished(now, o, Lost))
+				deliver(l.OrderEnded(now, o, Lost))
 			default:
 				effect(o)
-				deliver(l.Finished(now, o, Done))
+				deliver(l.OrderEnded(now, o, Done))
 			}
 		}
-		deliver(l.Withdraw(now))
+		deliver(l.RemoveWaiting(now))
 	}
 }
--- a/internal/core/limit/shared.go
+++ b/internal/core/limit/shared.go
@@ -29,10 +29,10 @@
 
 func (s *Shared) burst() float64 { return s.slack / float64(s.processes) }
 
-// SetNodes sets the number of processes that share the budget. If it rises, tokens
+// SetProcesses sets the number of processes that share the budget. If it rises, tokens
 // are removed at once. If it falls, no tokens are added: they accrue with requests.
 // The first number replaces the assumed one; if it is lower, the full burst is set.
-func (s *Shared) SetNodes(n int) {
+func (s *Shared) SetProcesses(n int) {
 	n = max(n, 1)
 	if s.processes == assumedProcesses && n < assumedProcesses {
 		s.processes = n
--- a/internal/core/limit/shared_test.go
+++ b/internal/core/limit/shared_test.go
@@ -17,7 +17,7 @@
 	var all []*Shared
 	for range nodes {
 		s := NewShared(share, slack)
-		s.SetNodes(nodes)
+		s.SetProcesses(nodes)
 		all = append(all, s)
 	}
 	requests, extra := 0, 0
@@ -36,12 +36,12 @@
 func TestMoreProcessesRemoveTokens(t *testing.T) {
 	is := is.New(t)
 	s := NewShared(0.2, 64)
-	s.SetNodes(2)
+	s.SetProcesses(2)
 	before := s.Left()
-	s.SetNodes(8)
+	s.SetProcesses(8)
 	is.True(s.Left() < before)
 	low := s.Left()
-	s.SetNodes(2)
+	s.SetProcesses(2)
 	is.Equal(s.Left(), low) // no tokens are added in advance
 }
 
@@ -57,7 +57,7 @@
 		extra := 0
 		for range nodes {
 			s := NewShared(share, slack)
-			s.SetNodes(nodes)
+			s.SetProcesses(nodes)
 			s.Request()
 			for s.Retry(r.Float64()) {
 				extra++
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -65,9 +65,9 @@
 	return &Table{cfg: cfg, started: now, leases: map[ident.HostID]lease{}, listings: map[ident.HostID]listing{}}
 }
 
-// Heard renews the lease of the host's agent on a heartbeat. Heartbeats of an older
+// RenewLease renews the lease of the host's agent on a heartbeat. Heartbeats of an older
 // incarnation are ignored.
-func (t *Table) Heard(now time.Time, h ident.HostID, inc ident.Incarnation) {
+func (t *Table) RenewLease(now time.Time, h ident.HostID, inc ident.Incarnation) {
 	l, ok := t.leases[h]
 	if ok && inc < l.incarnation {
 		return // delayed, from a process that no longer exists
@@ -79,8 +79,8 @@
 	t.leases[h] = l
 }
 
-// List records a new copy of the platform's list.
-func (t *Table) List(now time.Time, hosts map[ident.HostID]Standing) {
+// UpdateList records a new copy of the platform's list.
+func (t *Table) UpdateList(now time.Time, hosts map[ident.HostID]Standing) {
 	t.listReceived = true
 	for h, s := range hosts {
 		t.update(now, h, s)
@@ -125,7 +125,7 @@
 		e.Up = false
 		return endpointCommand(e, "its lease ended"), true
 	case !held && t.delisted(now, e.Host):
-		f := &state.EndpointForget{Host: e.Host, Incarnation: e.Incarnation, Reason: "its lease ended and the platform no longer lists the host"}
+		f := &state.EndpointRemoval{Host: e.Host, Incarnation: e.Incarnation, Reason: "its lease ended and the platform no longer lists the host"}
 		return state.Command{Forget: f}, true
 	case held && !e.Leaving && t.leaving(e):
 		e.Leaving = true
@@ -135,7 +135,7 @@
 }
 
 func endpointCommand(e state.Endpoint, reason string) state.Command {
-	return state.Command{Endpoint: &state.EndpointSet{Endpoint: e, Reason: reason}}
+	return state.Command{Endpoint: &state.EndpointUpdate{Endpoint: e, Reason: reason}}
 }
 
 // held reports whether the endpoint's agent holds its lease.
--- a/internal/core/member/member_test.go
+++ b/internal/core/member/member_test.go
@@ -24,7 +24,7 @@
 	is.Equal(len(tab.Check(at(4), endpoints(1, true))), 0) // within a lease from the start of the term
 	cs := tab.Check(at(6), endpoints(1, true))
 	is.Equal(cs[0].Endpoint.Endpoint.Up, false)
-	tab.Heard(at(7), "h", 1)
+	tab.RenewLease(at(7), "h", 1)
 	cs = tab.Check(at(7), endpoints(1, false))
 	is.Equal(cs[0].Endpoint.Endpoint.Up, true)
 }
@@ -34,8 +34,8 @@
 func TestHeartbeatsOfAnOlderIncarnationDoNotCount(t *testing.T) {
 	is := is.New(t)
 	tab := New(DefaultConfig(), start)
-	tab.Heard(at(1), "h", 2)
-	tab.Heard(at(6), "h", 1)
+	tab.RenewLease(at(1), "h", 2)
+	tab.RenewLease(at(6), "h", 1)
 	cs := tab.Check(at(7), endpoints(2, true))
 	is.Equal(cs[0].Endpoint.Endpoint.Up, false)
 }
@@ -45,15 +45,15 @@
 func TestLiveLeaseOverridesTheList(t *testing.T) {
 	is := is.New(t)
 	tab := New(DefaultConfig(), start)
-	tab.List(at(0), map[ident.HostID]Standing{"h": Leaving})
+	tab.UpdateList(at(0), map[ident.HostID]Standing{"h": Leaving})
 	for s := 1.0; s < 100; s++ {
-		tab.Heard(at(s), "h", 2)
-		tab.List(at(s), map[ident.HostID]Standing{"h": Leaving})
+		tab.RenewLease(at(s), "h", 2)
+		tab.UpdateList(at(s), map[ident.HostID]Standing{"h": Leaving})
 		is.Equal(len(tab.Check(at(s), endpoints(2, true))), 0)
 	}
-	tab.List(at(100), map[ident.HostID]Standing{"h": Live})
-	tab.Heard(at(101), "h", 2)
-	tab.List(at(101), map[ident.HostID]Standing{"h": Leaving})
+	tab.UpdateList(at(100), map[ident.HostID]Standing{"h": Live})
+	tab.RenewLease(at(101), "h", 2)
+	tab.UpdateList(at(101), map[ident.HostID]Standing{"h": Leaving})
 	cs := tab.Check(at(101), endpoints(2, true))
 	is.Equal(cs[0].Endpoint.Endpoint.Leaving, true) // listed as live in this incarnation, then as leaving
 }
@@ -61,9 +61,9 @@
 func TestEndpointIsRemovedOnlyIfLeaseAndListAgree(t *testing.T) {
 	is := is.New(t)
 	tab := New(DefaultConfig(), start)
-	tab.List(at(0), map[ident.HostID]Standing{"h": Live})
+	tab.UpdateList(at(0), map[ident.HostID]Standing{"h": Live})
 	is.Equal(len(tab.Check(at(1000), endpoints(1, false))), 0) // listed: kept
-	tab.List(at(1000), map[ident.HostID]Standing{})
+	tab.UpdateList(at(1000), map[ident.HostID]Standing{})
 	is.Equal(len(tab.Check(at(1020), endpoints(1, false))), 0) // the list may lag
 	cs := tab.Check(at(1031), endpoints(1, false))
 	is.Equal(cs[0].Forget.Host, ident.HostID("h"))
--- a/internal/core/placement/demand.go
+++ b/internal/core/placement/demand.go
@@ -31,7 +31,7 @@
 // Demand records a demand. An entry repeats a demand until it is met, so a lost
 // message or a change of leader delays it by one interval.
 func (p *Planner) Demand(now time.Time, st *state.State, d Demand) {
-	if _, ok := st.Stated(d.Target); !ok {
+	if _, ok := st.RequirementsOf(d.Target); !ok {
 		return
 	}
 	_, known := p.demands[d.Target]
@@ -64,7 +64,7 @@
 func (p *Planner) prewarm(now time.Time, st *state.State, t ident.Target) {
 	stats := st.History().Stats(t)
 	for _, c := range stats.Companions(p.cfg.PrewarmShare, minWakes) {
-		stmt, ok := st.Stated(c)
+		stmt, ok := st.RequirementsOf(c)
 		if !ok || st.Count(c) > 0 || stmt.Weight < prewarmWeight {
 			continue
 		}
@@ -112,7 +112,7 @@
 // item is a target that needs one more replica.
 type item struct {
 	target ident.Target
-	stmt   state.Statement
+	stmt   state.Requirements
 	class  urgency
 	key    time.Time // order within the class
 	// assumeEvictable makes replicas that are loading or in use count as evictable.
@@ -125,7 +125,7 @@
 	var items []item
 	lowest := p.minServed()
 	for t, td := range p.demands {
-		stmt, ok := st.Stated(t)
+		stmt, ok := st.RequirementsOf(t)
 		if !ok || !p.needsReplica(st, t, td) {
 			continue
 		}
@@ -142,12 +142,12 @@
 // concurrently.
 func (p *Planner) needsReplica(st *state.State, t ident.Target, td *targetDemand) bool {
 	n := st.Count(t)
-	if n >= st.Sold(t) {
+	if n >= st.MaxReplicas(t) {
 		return false
 	}
 	waiting := td.waiting()
 	if waiting == 0 {
-		stmt, _ := st.Stated(t)
+		stmt, _ := st.RequirementsOf(t)
 		return n < max(1, stmt.Min)
 	}
 	return n*defaultSlots < waiting
@@ -156,7 +156,7 @@
 const defaultSlots = 8 // concurrent requests assumed per replica
 
 // rank returns the queue item of t, with its class and its order within it.
-func (p *Planner) rank(now time.Time, t ident.Target, stmt state.Statement, td *targetDemand, lowest float64) item {
+func (p *Planner) rank(now time.Time, t ident.Target, stmt state.Requirements, td *targetDemand, lowest float64) item {
 	it := item{target: t, stmt: stmt, class: warm, key: td.since}
 	if p.cfg.Policy != PolicyHistory {
 		it.class = urgent
--- a/internal/core/placement/loads.go
+++ b/internal/core/placement/loads.go
@@ -71,7 +71,7 @@
 // bytes returns the accelerator memory of one replica of t, 0 if no record states
 // it.
 func (p *Planner) bytes(st *state.State, t ident.Target) int64 {
-	stmt, _ := st.Stated(t)
+	stmt, _ := st.RequirementsOf(t)
 	return stmt.Bytes
 }
 
@@ -118,9 +118,9 @@
 	return []state.Command{{Grant: &state.Grant{Target: step, Host: best.host, Reason: reason}}}
 }
 
-// ReasonNoRoom is the reason of an Estimate without a time: no endpoint can hold
+// ReasonNoMemory is the reason of an Estimate without a time: no endpoint can hold
 // the target, not even after evictions.
-const ReasonNoRoom = "no endpoint has or can free enough memory"
+const ReasonNoMemory = "no endpoint has or can free enough memory"
 
 // estimateEviction estimates when a target that fits nowhere now will be ready.
 // Replicas that are loading, in use or too young are expected to become
@@ -131,7 +131,7 @@
 	it.assumeEvictable = true
 	c, ok := p.place(later, st, it)
 	if !ok {
-		return Estimate{Target: it.target, Reason: ReasonNoRoom}
+		return Estimate{Target: it.target, Reason: ReasonNoMemory}
 	}
 	return Estimate{Target: it.target, Ready: later.Add(unloadTime + c.load), Reason: "waiting until a replica may be evicted"}
 }
@@ -166,7 +166,7 @@
 )
 
 func drain(r state.Replica, reason string) state.Command {
-	return state.Command{Replica: &state.ReplicaSet{ID: r.ID, Phase: state.Draining, Reason: reason}}
+	return state.Command{Replica: &state.ReplicaUpdate{ID: r.ID, Phase: state.Draining, Reason: reason}}
 }
 
 // estimateReplicas estimates when the first of the present replicas of t is ready.
--- a/internal/core/placement/place.go
+++ b/internal/core/placement/place.go
@@ -108,7 +108,7 @@
 	if present {
 		return base.Phase != state.Draining
 	}
-	if st.Count(t.Base()) >= st.Sold(t) {
+	if st.Count(t.Base()) >= st.MaxReplicas(t) {
 		return false
 	}
 	bytes := p.bytes(st, t.Base())
@@ -202,7 +202,7 @@
 	if p.idle(now, r.Target) < evictIdle {
 		return false
 	}
-	stmt, ok := st.Stated(r.Target)
+	stmt, ok := st.RequirementsOf(r.Target)
 	return !ok || st.Count(r.Target) > stmt.Min
 }
 
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -28,7 +28,7 @@
 	w.apply(state.Command{Submit: &state.Submit{Request: "r", Raw: record.Text(raw)}})
 	for i := range hosts {
 		e := state.Endpoint{Host: ident.HostID(fmt.Sprint("h", i)), Zone: ident.Zone(fmt.Sprint("z", i)), Incarnation: 1, Place: "p", Memory: 100e9, Slots: 8, Up: true}
-		w.apply(state.Command{Endpoint: &state.EndpointSet{Endpoint: e}})
+		w.apply(state.Command{Endpoint: &state.EndpointUpdate{Endpoint: e}})
 	}
 	w.p = New(cfg, w.now)
 	return w
@@ -62,7 +62,7 @@
 func (w *world) finishLoads() {
 	for _, r := range w.st.Replicas() {
 		if r.Phase == state.Granted {
-			w.apply(state.Command{Replica: &state.ReplicaSet{ID: r.ID, Phase: state.Ready}})
+			w.apply(state.Command{Replica: &state.ReplicaUpdate{ID: r.ID, Phase: state.Ready}})
 		}
 	}
 }
--- a/internal/core/placement/planner.go
+++ b/internal/core/placement/planner.go
@@ -267,10 +267,10 @@
 		}
 	case c.Replica != nil:
 		delete(p.proposed, proposal{id: c.Replica.ID})
-		if c.Replica.Gone || c.Replica.Phase == state.Ready {
+		if c.Replica.Removed || c.Replica.Phase == state.Ready {
 			delete(p.sources, c.Replica.ID)
 		}
-		if c.Replica.Gone {
+		if c.Replica.Removed {
 			delete(p.loads, c.Replica.ID)
 		}
 	}
--- a/internal/core/placement/sweep.go
+++ b/internal/core/placement/sweep.go
@@ -48,7 +48,7 @@
 	if len(st.Dependents(r)) > 0 {
 		return ""
 	}
-	stmt, stated := st.Stated(r.Target)
+	stmt, stated := st.RequirementsOf(r.Target)
 	if !stated {
 		return "no record in force states it"
 	}
@@ -56,7 +56,7 @@
 	l := p.loads[r.ID]
 	busy := l.Running+l.Waiting > 0
 	switch {
-	case remaining > st.Sold(r.Target):
+	case remaining > st.MaxReplicas(r.Target):
 		surplus[r.Target]++
 		return "more than the records allow"
 	case r.Phase != state.Ready || busy || remaining <= stmt.Min:
@@ -102,7 +102,7 @@
 }
 
 // keepAliveFor returns how long an idle replica stays loaded.
-func (p *Planner) keepAliveFor(st *state.State, r state.Replica, stmt state.Statement) time.Duration {
+func (p *Planner) keepAliveFor(st *state.State, r state.Replica, stmt state.Requirements) time.Duration {
 	switch p.cfg.Policy {
 	case PolicyFixed:
 		return p.cfg.FixedKeepAlive
@@ -119,7 +119,7 @@
 // demandMinimum adds demand for the replicas that records keep loaded at all
 // times.
 func (p *Planner) demandMinimum(now time.Time, st *state.State) {
-	st.EachStated(func(t ident.Target, stmt state.Statement) {
+	st.EachTarget(func(t ident.Target, stmt state.Requirements) {
 		if stmt.Min > st.Count(t) {
 			td := p.demandFor(now, t)
 			td.warmUntil = maxTime(td.warmUntil, now.Add(p.cfg.DemandTTL))
--- a/internal/core/poison/book.go
+++ b/internal/core/poison/book.go
@@ -13,9 +13,9 @@
 	EndsToQuarantine = 3
 	// CaseRetention is how long ends count: a harmful request may be sent again after minutes.
 	CaseRetention = 10 * time.Minute
-	// QuarantineStays is how long a quarantined request is refused before it is run once more:
+	// QuarantineDuration is how long a quarantined request is refused before it is run once more:
 	// its endpoints may run another release by then.
-	QuarantineStays = 30 * time.Minute
+	QuarantineDuration = 30 * time.Minute
 	// maxCases bounds a Book: 180 endpoints with 16 requests each that end together make 2,880
 	// cases.
 	maxCases = 4096
@@ -28,8 +28,8 @@
 
 // End reports that an incarnation of an endpoint ended while it ran a request.
 type End struct {
-	Request Fingerprint `json:"request"`
-	Start   string      `json:"start"` // incarnation of the endpoint's process; another one after a restart
+	Request     Fingerprint `json:"request"`
+	Incarnation string      `json:"start"` // incarnation of the endpoint's process; another one after a restart
 	// Cold is set if the entry has not run for long enough to know which requests are often
 	// answered: see Recent. If its report counted like any other, identical look-ups could be
 	// quarantined: all processes are killed, and just after their restart three endpoints fail
@@ -40,9 +40,9 @@
 // Case is the evidence against one request.
 type Case struct {
 	Request Fingerprint `json:"request"`
-	// Starts are the incarnations that ended under it, oldest first.
-	Starts []string `json:"starts,omitempty"`
-	// Concurrent are incarnations that ended together with one of Starts and do not count.
+	// Incarnations are the incarnations that ended under it, oldest first.
+	Incarnations []string `json:"starts,omitempty"`
+	// Concurrent are incarnations that ended together with one of Incarnations and do not count.
 	Concurrent []string `json:"beside,omitempty"`
 	// Quarantined is the start of the quarantine; zero if there is none.
 	Quarantined time.Time `json:"quarantined,omitzero"`
@@ -55,8 +55,8 @@
 	quarantine time.Duration // duration of a quarantine
 }
 
-// NewBook returns an empty Book with quarantines of QuarantineStays.
-func NewBook() *Book { return NewBookFor(QuarantineStays) }
+// NewBook returns an empty Book with quarantines of QuarantineDuration.
+func NewBook() *Book { return NewBookFor(QuarantineDuration) }
 
 // NewBookFor returns an empty Book with quarantines of the given duration.
 func NewBookFor(quarantine time.Duration) *Book {
@@ -73,15 +73,15 @@
 		b.cases[e.Request] = c
 	}
 	b.expire(now, c)
-	if slices.Contains(c.Starts, e.Start) || slices.Contains(c.Concurrent, e.Start) {
+	if slices.Contains(c.Incarnations, e.Incarnation) || slices.Contains(c.Concurrent, e.Incarnation) {
 		return false, false
 	}
-	if e.Cold && len(c.Starts) > 0 && now.Sub(c.At) < concurrentWithin {
-		c.Concurrent = append(c.Concurrent[max(0, len(c.Concurrent)-maxConcurrent+1):], e.Start)
+	if e.Cold && len(c.Incarnations) > 0 && now.Sub(c.At) < concurrentWithin {
+		c.Concurrent = append(c.Concurrent[max(0, len(c.Concurrent)-maxConcurrent+1):], e.Incarnation)
 		return true, false
 	}
-	c.Starts, c.At = append(c.Starts, e.Start), now
-	if len(c.Starts) < EndsToQuarantine || !c.Quarantined.IsZero() {
+	c.Incarnations, c.At = append(c.Incarnations, e.Incarnation), now
+	if len(c.Incarnations) < EndsToQuarantine || !c.Quarantined.IsZero() {
 		return true, false
 	}
 	c.Quarantined = now
@@ -103,19 +103,19 @@
 	b.cases[c.Request] = &c
 }
 
-// Forgive removes an incarnation from all cases, since its end had another cause. A quarantine
+// Retract removes an incarnation from all cases, since its end had another cause. A quarantine
 // that no longer has enough ends is lifted.
-func (b *Book) Forgive(incarnation string) {
+func (b *Book) Retract(incarnation string) {
 	for f, c := range b.cases {
-		at := slices.Index(c.Starts, incarnation)
+		at := slices.Index(c.Incarnations, incarnation)
 		if at < 0 {
 			continue
 		}
-		c.Starts = slices.Delete(slices.Clone(c.Starts), at, at+1)
-		if len(c.Starts) < EndsToQuarantine {
+		c.Incarnations = slices.Delete(slices.Clone(c.Incarnations), at, at+1)
+		if len(c.Incarnations) < EndsToQuarantine {
 			c.Quarantined = time.Time{}
 		}
-		if len(c.Starts) == 0 {
+		if len(c.Incarnations) == 0 {
 			delete(b.cases, f)
 		}
 	}
@@ -141,7 +141,7 @@
 		return Standing{}
 	}
 	b.expire(now, c)
-	s := Standing{Ends: len(c.Starts)}
+	s := Standing{Ends: len(c.Incarnations)}
 	if !c.Quarantined.IsZero() {
 		s.Quarantined, s.Left = true, b.quarantine-now.Sub(c.Quarantined)
 	}
@@ -153,10 +153,10 @@
 func (b *Book) expire(now time.Time, c *Case) {
 	switch {
 	case c.Quarantined.IsZero() && now.Sub(c.At) > CaseRetention:
-		c.Starts, c.Concurrent = nil, nil
+		c.Incarnations, c.Concurrent = nil, nil
 	case !c.Quarantined.IsZero() && now.Sub(c.Quarantined) >= b.quarantine:
 		c.Quarantined, c.At = time.Time{}, now
-		c.Starts = slices.Clone(c.Starts[max(0, len(c.Starts)-EndsToQuarantine+1):])
+		c.Incarnations = slices.Clone(c.Incarnations[max(0, len(c.Incarnations)-EndsToQuarantine+1):])
 	}
 }
 
@@ -170,17 +170,17 @@
 		if !before.IsZero() && c.Quarantined.IsZero() {
 			expired = append(expired, f)
 		}
-		if len(c.Starts) == 0 {
+		if len(c.Incarnations) == 0 {
 			delete(b.cases, f)
 		}
 	}
 	return expired
 }
 
-// StartsOf returns the incarnations that ended under a request.
-func (b *Book) StartsOf(f Fingerprint) []string {
+// IncarnationsOf returns the incarnations that ended under a request.
+func (b *Book) IncarnationsOf(f Fingerprint) []string {
 	if c, known := b.cases[f]; known {
-		return c.Starts
+		return c.Incarnations
 	}
 	return nil
 }
@@ -194,7 +194,7 @@
 	}
 	slices.SortFunc(out, func(x, y Case) int {
 		return cmp.Or(
-			cmp.Compare(len(y.Starts), len(x.Starts)),
+			cmp.Compare(len(y.Incarnations), len(x.Incarnations)),
 			y.At.Compare(x.At),
 			slices.Compare(x.Request[:], y.Request[:]),
 		)
--- a/internal/core/poison/doc.go
+++ b/internal/core/poison/doc.go
@@ -17,7 +17,7 @@
 //     at once and are under several ends when a zone fails, but others like them are answered
 //     (Recent). Ends reported by entries that have just started and remember no answers count
 //     as one if they occur within a short time.
-//   - Time clears it too (CaseRetention, QuarantineStays). After a quarantine the next run is on
+//   - Time clears it too (CaseRetention, QuarantineDuration). After a quarantine the next run is on
 //     probation: one more end quarantines it again.
 //
 // The leader collects the observations of entries (Book), publishes the result to all entries,
--- a/internal/core/poison/docket.go
+++ b/internal/core/poison/docket.go
@@ -15,23 +15,23 @@
 	clearedRetention = 10 * time.Second
 )
 
-// Told is what the leader publishes to entries about one request.
-type Told struct {
+// Update is what the leader publishes to entries about one request.
+type Update struct {
 	Request Fingerprint   `json:"request"`
 	Ends    int           `json:"ends"`           // incarnations that ended under it; 0 if it was cleared
 	Left    time.Duration `json:"left,omitempty"` // remaining time of its quarantine; 0 if there is none
 }
 
-// Docket is the leader's Book, with what is to be published to entries. It is not safe for
+// LeaderBook is the leader's Book, with what is to be published to entries. It is not safe for
 // concurrent use.
-type Docket struct {
+type LeaderBook struct {
 	*Book
 	cleared map[Fingerprint]time.Time
 }
 
-// NewDocket returns a Docket with the quarantines of a registry.
-func NewDocket(now time.Time, r Registry) *Docket {
-	d := &Docket{Book: NewBook(), cleared: map[Fingerprint]time.Time{}}
+// NewLeaderBook returns a LeaderBook with the quarantines of a registry.
+func NewLeaderBook(now time.Time, r Registry) *LeaderBook {
+	d := &LeaderBook{Book: NewBook(), cleared: map[Fingerprint]time.Time{}}
 	for _, c := range r.Cases {
 		d.Restore(now, c)
 	}
@@ -40,7 +40,7 @@
 
 // Clear removes the case of a request and has this published to entries. It reports whether
 // there was a case.
-func (d *Docket) Clear(now time.Time, f Fingerprint) bool {
+func (d *LeaderBook) Clear(now time.Time, f Fingerprint) bool {
 	if !d.Book.Clear(f) {
 		return false
 	}
@@ -50,7 +50,7 @@
 
 // Ended records an end as Book.Ended does. If there are too many quarantines the oldest is
 // lifted.
-func (d *Docket) Ended(now time.Time, e End) (isNew, quarantined bool) {
+func (d *LeaderBook) Ended(now time.Time, e End) (isNew, quarantined bool) {
 	delete(d.cleared, e.Request)
 	isNew, quarantined = d.Book.Ended(now, e)
 	if !quarantined {
@@ -63,14 +63,14 @@
 }
 
 // Quarantined returns the cases that are quarantined.
-func (d *Docket) Quarantined() []Case {
+func (d *LeaderBook) Quarantined() []Case {
 	return slices.DeleteFunc(d.Cases(), func(c Case) bool { return c.Quarantined.IsZero() })
 }
 
-// Tell returns what is to be published to entries: all quarantines, the most severe and newest
+// Updates returns what is to be published to entries: all quarantines, the most severe and newest
 // of the other cases, and the requests cleared within clearedRetention.
-func (d *Docket) Tell(now time.Time) []Told {
-	var out []Told
+func (d *LeaderBook) Updates(now time.Time) []Update {
+	var out []Update
 	others := 0
 	for _, c := range d.Cases() {
 		s := d.Standing(now, c.Request)
@@ -78,7 +78,7 @@
 			others++
 		}
 		if s.Quarantined || others <= maxPublished {
-			out = append(out, Told{Request: c.Request, Ends: s.Ends, Left: s.Left})
+			out = append(out, Update{Request: c.Request, Ends: s.Ends, Left: s.Left})
 		}
 	}
 	others = 0
@@ -88,16 +88,16 @@
 			delete(d.cleared, f)
 		case others < maxPublished:
 			others++
-			out = append(out, Told{Request: f})
+			out = append(out, Update{Request: f})
 		}
 	}
 	return out
 }
 
-// Due returns the note that makes a registry agree with the docket, and whether there is
+// PendingChange returns the change that makes a registry agree with the book, and whether there is
 // anything to change.
-func (d *Docket) Due(r Registry) (Note, bool) {
-	var n Note
+func (d *LeaderBook) PendingChange(r Registry) (Change, bool) {
+	var n Change
 	quarantined := map[Fingerprint]bool{}
 	for _, c := range d.Quarantined() {
 		quarantined[c.Request] = true
--- a/internal/core/poison/poison_test.go
+++ b/internal/core/poison/poison_test.go
@@ -27,37 +27,37 @@
 		_, err := Parse(bad)
 		is.True(err != nil)
 	}
-	raw, err := json.Marshal(End{Request: f, Start: "e"})
+	raw, err := json.Marshal(End{Request: f, Incarnation: "e"})
 	is.NoErr(err)
 	var e End
 	is.NoErr(json.Unmarshal(raw, &e))
-	is.Equal(e, End{Request: f, Start: "e"})
+	is.Equal(e, End{Request: f, Incarnation: "e"})
 }
 
 func TestThreeDifferentIncarnationsQuarantine(t *testing.T) {
 	is := is.New(t)
 	b, f := NewBook(), name("x")
 	for _, s := range []string{"a", "a", "b", "a"} { // several entries report each end
-		_, q := b.Ended(start, End{Request: f, Start: s})
+		_, q := b.Ended(start, End{Request: f, Incarnation: s})
 		is.True(!q)
 	}
 	is.Equal(b.Standing(start, f), Standing{Ends: 2})
-	_, q := b.Ended(start, End{Request: f, Start: "c"})
+	_, q := b.Ended(start, End{Request: f, Incarnation: "c"})
 	is.True(q)
 	st := b.Standing(start.Add(time.Minute), f)
 	is.True(st.Quarantined)
-	is.Equal(st.Left, QuarantineStays-time.Minute)
+	is.Equal(st.Left, QuarantineDuration-time.Minute)
 	is.Equal(b.Standing(start, name("y")), Standing{})
 }
 
 func TestCompleteAnswerClears(t *testing.T) {
 	is := is.New(t)
 	b, f := NewBook(), name("x")
-	b.Ended(start, End{Request: f, Start: "a"})
-	b.Ended(start, End{Request: f, Start: "b"})
+	b.Ended(start, End{Request: f, Incarnation: "a"})
+	b.Ended(start, End{Request: f, Incarnation: "b"})
 	is.True(b.Clear(f))
 	is.True(!b.Clear(f))
-	_, q := b.Ended(start, End{Request: f, Start: "c"})
+	_, q := b.Ended(start, End{Request: f, Incarnation: "c"})
 	is.True(!q)
 	is.Equal(b.Standing(start, f).Ends, 1)
 }
@@ -65,10 +65,10 @@
 func TestTimeClears(t *testing.T) {
 	is := is.New(t)
 	b, f := NewBook(), name("x")
-	b.Ended(start, End{Request: f, Start: "a"})
-	b.Ended(start, End{Request: f, Start: "b"})
+	b.Ended(start, End{Request: f, Incarnation: "a"})
+	b.Ended(start, End{Request: f, Incarnation: "b"})
 	later := start.Add(CaseRetention + time.Second)
-	_, q := b.Ended(later, End{Request: f, Start: "c"})
+	_, q := b.Ended(later, End{Request: f, Incarnation: "c"})
 	is.True(!q)
 	is.Equal(b.Standing(later, f).Ends, 1)
 	is.Equal(len(b.Sweep(later.Add(CaseRetention+time.Second))), 0)
@@ -80,12 +80,12 @@
 	is := is.New(t)
 	b, f := NewBook(), name("x")
 	for _, s := range []string{"a", "b", "c"} {
-		b.Ended(start, End{Request: f, Start: s})
+		b.Ended(start, End{Request: f, Incarnation: s})
 	}
-	over := start.Add(QuarantineStays)
+	over := start.Add(QuarantineDuration)
 	is.Equal(b.Sweep(over), []Fingerprint{f})
 	is.Equal(b.Standing(over, f), Standing{Ends: 2})
-	_, q := b.Ended(over, End{Request: f, Start: "d"})
+	_, q := b.Ended(over, End{Request: f, Incarnation: "d"})
 	is.True(q)
 }
 
@@ -94,10 +94,10 @@
 	b := NewBook()
 	severe := name("grave")
 	for _, s := range []string{"a", "b", "c"} {
-		b.Ended(start, End{Request: severe, Start: s})
+		b.Ended(start, End{Request: severe, Incarnation: s})
 	}
 	for i := range 3 * maxCases {
-		b.Ended(start.Add(time.Duration(i)*time.Millisecond), End{Request: name(fmt.Sprint(i)), Start: "a"})
+		b.Ended(start.Add(time.Duration(i)*time.Millisecond), End{Request: name(fmt.Sprint(i)), Incarnation: "a"})
 	}
 	is.True(len(b.Cases()) <= maxCases)
 	is.True(b.Standing(start.Add(time.Minute), severe).Quarantined)
@@ -117,46 +117,46 @@
 	is.True(len(r.newer)+len(r.older) <= 2*maxRecent)
 }
 
-// The registry agrees with the docket under every leader: a new leader has the quarantines,
+// The registry agrees with the leader's book under every leader: a new leader has the quarantines,
 // and a lifted quarantine stays lifted.
 func TestRegistryFollowsTheDocket(t *testing.T) {
 	is := is.New(t)
-	d, f, g := NewDocket(start, Registry{}), name("x"), name("y")
+	d, f, g := NewLeaderBook(start, Registry{}), name("x"), name("y")
 	var r Registry
-	r = r.Next(Note{Key: Key("first")})
-	r = r.Next(Note{Key: Key("second")})
+	r = r.Next(Change{Key: Key("first")})
+	r = r.Next(Change{Key: Key("second")})
 	is.Equal(string(r.Key), "first")
 	for _, s := range []string{"a", "b", "c"} {
-		d.Ended(start, End{Request: f, Start: s})
+		d.Ended(start, End{Request: f, Incarnation: s})
 	}
-	d.Ended(start, End{Request: g, Start: "a"})
-	n, due := d.Due(r)
+	d.Ended(start, End{Request: g, Incarnation: "a"})
+	n, due := d.PendingChange(r)
 	is.True(due)
 	r = r.Next(n)
 	is.True(r.Has(f) && !r.Has(g))
-	_, due = d.Due(r)
+	_, due = d.PendingChange(r)
 	is.True(!due)
-	next := NewDocket(start.Add(time.Hour), r) // another leader, with its own clock
+	next := NewLeaderBook(start.Add(time.Hour), r) // another leader, with its own clock
 	is.True(next.Standing(start.Add(time.Hour), f).Quarantined)
 	is.True(next.Clear(start, f))
-	is.Equal(next.Tell(start), []Told{{Request: f}}) // entries discard what they observed themselves
-	n, _ = next.Due(r)
+	is.Equal(next.Updates(start), []Update{{Request: f}}) // entries discard what they observed themselves
+	n, _ = next.PendingChange(r)
 	r = r.Next(n)
 	is.Equal(len(r.Cases), 0)
 }
 
 func TestAllQuarantinesArePublishedAndTheirNumberIsBounded(t *testing.T) {
 	is := is.New(t)
-	d := NewDocket(start, Registry{})
+	d := NewLeaderBook(start, Registry{})
 	for i := range maxQuarantined + 10 {
 		for _, s := range []string{"a", "b", "c"} {
-			d.Ended(start.Add(time.Duration(i)*time.Second), End{Request: name(fmt.Sprint(i)), Start: s})
+			d.Ended(start.Add(time.Duration(i)*time.Second), End{Request: name(fmt.Sprint(i)), Incarnation: s})
 		}
-		d.Ended(start, End{Request: name("single" + fmt.Sprint(i)), Start: "a"})
+		d.Ended(start, End{Request: name("single" + fmt.Sprint(i)), Incarnation: "a"})
 	}
 	is.Equal(len(d.Quarantined()), maxQuarantined)
 	quarantined, suspect := 0, 0
-	for _, o := range d.Tell(start) {
+	for _, o := range d.Updates(start) {
 		switch {
 		case o.Left > 0:
 			quarantined++
@@ -176,16 +176,16 @@
 	is := is.New(t)
 	b, f := NewBook(), name("look-up")
 	for i, s := range []string{"a", "b", "c", "d"} {
-		_, q := b.Ended(start.Add(time.Duration(i)*100*time.Millisecond), End{Request: f, Start: s, Cold: true})
+		_, q := b.Ended(start.Add(time.Duration(i)*100*time.Millisecond), End{Request: f, Incarnation: s, Cold: true})
 		is.True(!q)
 	}
 	is.Equal(b.Standing(start, f).Ends, 1)
-	isNew, _ := b.Ended(start.Add(5*time.Second), End{Request: f, Start: "b"}) // reported again, later
+	isNew, _ := b.Ended(start.Add(5*time.Second), End{Request: f, Incarnation: "b"}) // reported again, later
 	is.True(!isNew)
 	// A harmful request continues to end endpoints: it is still quarantined, about 1 s later.
-	_, q := b.Ended(start.Add(600*time.Millisecond), End{Request: f, Start: "e", Cold: true})
+	_, q := b.Ended(start.Add(600*time.Millisecond), End{Request: f, Incarnation: "e", Cold: true})
 	is.True(!q)
-	_, q = b.Ended(start.Add(1200*time.Millisecond), End{Request: f, Start: "f", Cold: true})
+	_, q = b.Ended(start.Add(1200*time.Millisecond), End{Request: f, Incarnation: "f", Cold: true})
 	is.True(q)
 	r := NewRecent(start)
 	is.True(r.Cold(start.Add(recentRetention - 1)))
--- a/internal/core/poison/registry.go
+++ b/internal/core/poison/registry.go
@@ -12,11 +12,11 @@
 	Cases []Case `json:"cases,omitempty"` // oldest first
 }
 
-// Note is one change of a Registry. Where the leader keeps a Docket, the leader decides what is
+// Change is one change of a Registry. Where the leader keeps a LeaderBook, the leader decides what is
 // quarantined and submits it (Add, Lift). Where entries submit commands through the control
 // host to which they are subscribed, they submit what they observe (Ends, Answered), and the
 // state machine counts.
-type Note struct {
+type Change struct {
 	Key  Key           `json:"key,omitempty"`  // ignored if a key is set already
 	Add  []Case        `json:"add,omitempty"`  // to be quarantined
 	Lift []Fingerprint `json:"lift,omitempty"` // no longer quarantined
@@ -28,7 +28,7 @@
 // Next returns the registry after a note. The first key is kept: fingerprints made with
 // another key would match no known request. Quarantines end only by a note, never by the time
 // of day, on which hosts do not agree and which may jump.
-func (r Registry) Next(n Note) Registry {
+func (r Registry) Next(n Change) Registry {
 	if len(r.Key) == 0 {
 		r.Key = n.Key
 	}
--- a/internal/core/poison/simulation_test.go
+++ b/internal/core/poison/simulation_test.go
@@ -17,7 +17,7 @@
 type simulation struct {
 	rnd     *rand.Rand
 	now     time.Time
-	docket  *poison.Docket
+	docket  *poison.LeaderBook
 	recent  *poison.Recent
 	engines []*simEngine
 	key     poison.Key
@@ -67,7 +67,7 @@
 func newSimulation(seed uint64) *simulation {
 	s := &simulation{rnd: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1e6, 0), recent: poison.NewRecent(time.Unix(1e6, 0)), key: poison.Key("k"),
 		underEnd: map[string]bool{}, refused: map[string]bool{}}
-	s.docket = poison.NewDocket(s.now, poison.Registry{})
+	s.docket = poison.NewLeaderBook(s.now, poison.Registry{})
 	for i := range simEngines + simPlain {
 		s.engines = append(s.engines, &simEngine{id: i, plain: i >= simEngines, model: i % simModels})
 	}
@@ -121,7 +121,7 @@
 	for _, run := range e.runs {
 		f := s.fingerprint(run.r)
 		if !s.recent.Has(s.now, f) {
-			s.docket.Ended(s.now, poison.End{Request: f, Start: id})
+			s.docket.Ended(s.now, poison.End{Request: f, Incarnation: id})
 		}
 		if run.r.harmful {
 			continue
--- a/internal/core/roster/roster.go
+++ b/internal/core/roster/roster.go
@@ -22,9 +22,9 @@
 	// ReplaceAfter is the silence after which a spare replaces a voter. It is
 	// longer than a restart, so that a planned stop changes no membership.
 	ReplaceAfter time.Duration
-	// ForgetAfter is the silence after which a non-voting member is removed. A
+	// RemoveAfter is the silence after which a non-voting member is removed. A
 	// host that returns later joins again.
-	ForgetAfter time.Duration
+	RemoveAfter time.Duration
 }
 
 // DefaultConfig returns the Config of a group that tolerates the loss of f hosts, at
@@ -35,7 +35,7 @@
 		// A restarted process is back within about 2 s, a frozen host within 4 s.
 		ReplaceAfter: 5 * time.Second,
 		// Twice the longest partition observed in practice runs of this size.
-		ForgetAfter: 30 * time.Second,
+		RemoveAfter: 30 * time.Second,
 	}
 }
 
@@ -66,8 +66,8 @@
 	return &Roster{cfg: cfg, termStart: now, lastSeen: map[consensus.NodeID]time.Time{}, joiners: map[consensus.NodeID]Joiner{}}
 }
 
-// Heard records a message from a member.
-func (r *Roster) Heard(now time.Time, id consensus.NodeID) { r.lastSeen[id] = now }
+// RecordMessage records a message from a member.
+func (r *Roster) RecordMessage(now time.Time, id consensus.NodeID) { r.lastSeen[id] = now }
 
 // Join records a request to join.
 func (r *Roster) Join(j Joiner) { r.joiners[j.ID] = j }
@@ -193,10 +193,10 @@
 }
 
 // removeSilentSpare removes a non-voting member that has been silent for longer than
-// ForgetAfter.
+// RemoveAfter.
 func (r *Roster) removeSilentSpare(now time.Time, st consensus.Status) (Change, bool) {
 	for _, m := range st.Membership.Members {
-		if !m.Voter && m.ID != st.ID && r.silence(now, m.ID) > r.cfg.ForgetAfter {
+		if !m.Voter && m.ID != st.ID && r.silence(now, m.ID) > r.cfg.RemoveAfter {
 			return Change{Member: m, Remove: true, Reason: "silent for long"}, true
 		}
 	}
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -32,8 +32,8 @@
 	is := is.New(t)
 	r := New(DefaultConfig(1), start)
 	now := start.Add(time.Minute)
-	r.Heard(now, 2)
-	r.Heard(now, 3)
+	r.RecordMessage(now, 2)
+	r.RecordMessage(now, 3)
 	_, due := r.Next(now, statusOf(threeVoters()...))
 	is.True(!due)
 }
@@ -49,7 +49,7 @@
 	c, due := r.Next(now, statusOf(voter(1, "a"), voter(2, "b")))
 	is.True(due)
 	is.Equal(c.Member, consensus.Member{ID: 9, Addr: "d", Volatile: true})
-	r.Heard(now, 9)
+	r.RecordMessage(now, 9)
 	_, due = r.Next(now, statusOf(voter(1, "a"), voter(2, "b"), c.Member))
 	is.True(!due)
 }
@@ -69,7 +69,7 @@
 	is.True(due && !c.Remove)
 	is.Equal(c.Member, consensus.Member{ID: 9, Addr: "b"}) // at first non-voting
 
-	r.Heard(now, 9)
+	r.RecordMessage(now, 9)
 	st := statusOf(voter(1, "a"), voter(3, "c"), consensus.Member{ID: 9, Addr: "b"})
 	st.Match[9] = 4
 	_, due = r.Next(now, st)
@@ -87,14 +87,14 @@
 	r := New(cfg, start)
 	st := statusOf(append(threeVoters(), consensus.Member{ID: 4, Addr: "d"})...)
 	now := start.Add(cfg.ReplaceAfter / 2)
-	r.Heard(now, 2)
-	r.Heard(now, 4)
+	r.RecordMessage(now, 2)
+	r.RecordMessage(now, 4)
 	_, due := r.Next(now, st)
 	is.True(!due) // a restart takes at most this long
 
 	now = start.Add(cfg.ReplaceAfter + time.Second)
-	r.Heard(now, 2)
-	r.Heard(now, 4)
+	r.RecordMessage(now, 2)
+	r.RecordMessage(now, 4)
 	c, due := r.Next(now, st)
 	is.True(due && c.Member.Voter)
 	is.Equal(c.Member.ID, consensus.NodeID(4))
@@ -110,9 +110,9 @@
 	cfg := DefaultConfig(1)
 	r := New(cfg, start)
 	r.Join(Joiner{ID: 9, Addr: "z", At: start})
-	now := start.Add(cfg.ForgetAfter + time.Second)
-	r.Heard(now, 2)
-	r.Heard(now, 3)
+	now := start.Add(cfg.RemoveAfter + time.Second)
+	r.RecordMessage(now, 2)
+	r.RecordMessage(now, 3)
 	c, due := r.Next(now, statusOf(append(threeVoters(), consensus.Member{ID: 4, Addr: "d"})...))
 	is.True(due && c.Remove)
 	is.Equal(c.Member.ID, consensus.NodeID(4)) // and 9, whose request is too old, is not admitted
@@ -140,7 +140,7 @@
 	is.True(due)
 	is.Equal(c.Member.ID, consensus.NodeID(9)) // then its host joins
 	ms = append(ms, c.Member)
-	r.Heard(now, 9)
+	r.RecordMessage(now, 9)
 	c, due = r.Next(now, statusOf(ms...))
 	is.True(due)
 	is.Equal(c.Member, voter(9, "c")) // and becomes a voter
--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -114,9 +114,9 @@
 	s.ejectedUntil = now.Add(min(ejection, t.cfg.EjectMax))
 }
 
-// Renewed discards the state of an endpoint whose process was replaced, except for the
+// Restarted discards the state of an endpoint whose process was replaced, except for the
 // attempts in flight.
-func (t *Table) Renewed(h ident.HostID) {
+func (t *Table) Restarted(h ident.HostID) {
 	if s, ok := t.hosts[h]; ok {
 		t.hosts[h] = &endpointState{inflight: s.inflight}
 	}
--- a/internal/core/state/apply.go
+++ b/internal/core/state/apply.go
@@ -89,7 +89,7 @@
 	}
 	res := Result{Code: first.Code, Revision: first.Revision, Message: first.Message, Resent: true}
 	if r, ok := s.records[first.Name]; ok && first.Code == Conflict {
-		res.Present = &r
+		res.Current = &r
 	}
 	return res
 }
@@ -145,7 +145,7 @@
 		return Result{Code: Conflict, Message: fmt.Sprintf("based on revision %d, but no such record is in force", base)}, true
 	}
 	return Result{
-		Code: Conflict, Revision: old.Revision, Present: &old,
+		Code: Conflict, Revision: old.Revision, Current: &old,
 		Message: fmt.Sprintf("based on revision %d, but revision %d is in force", base, old.Revision),
 	}, true
 }
--- a/internal/core/state/claims.go
+++ b/internal/core/state/claims.go
@@ -11,7 +11,7 @@
 func (s *State) openClaim(c OpenClaim) Result {
 	old, ok := s.claims[c.Key]
 	if ok && old.Digest != c.Digest {
-		return Result{Code: DigestDiffer, Message: "the idempotency key was used with another request"}
+		return Result{Code: DigestMismatch, Message: "the idempotency key was used with another request"}
 	}
 	if ok && old.Request == c.Request {
 		return Result{Code: OK, Claim: &old} // the entry lost the answer and retries
--- a/internal/core/state/command.go
+++ b/internal/core/state/command.go
@@ -12,21 +12,21 @@
 
 // Command is one command of the replicated log. Exactly one of the pointers is set.
 type Command struct {
-	Time     time.Time       `json:"time"` // clock of the proposing leader; time in the state never decreases
-	By       string          `json:"by"`
-	Submit   *Submit         `json:"submit,omitempty"`
-	Withdraw *Withdraw       `json:"withdraw,omitempty"`
-	Endpoint *EndpointSet    `json:"endpoint,omitempty"`
-	Forget   *EndpointForget `json:"forget,omitempty"`
-	Grant    *Grant          `json:"grant,omitempty"`
-	Replica  *ReplicaSet     `json:"replica,omitempty"`
-	Open     *OpenClaim      `json:"open,omitempty"`
-	Settle   *SettleClaim    `json:"settle,omitempty"`
-	Expire   *Expire         `json:"expire,omitempty"`
-	History  *History        `json:"history,omitempty"`
-	Deploy   *Deploy         `json:"deploy,omitempty"`
-	Holder   *holder.Record  `json:"holder,omitempty"`
-	Poison   *poison.Note    `json:"poison,omitempty"`
+	Time     time.Time        `json:"time"` // clock of the proposing leader; time in the state never decreases
+	By       string           `json:"by"`
+	Submit   *Submit          `json:"submit,omitempty"`
+	Withdraw *Withdraw        `json:"withdraw,omitempty"`
+	Endpoint *EndpointUpdate  `json:"endpoint,omitempty"`
+	Forget   *EndpointRemoval `json:"forget,omitempty"`
+	Grant    *Grant           `json:"grant,omitempty"`
+	Replica  *ReplicaUpdate   `json:"replica,omitempty"`
+	Open     *OpenClaim       `json:"open,omitempty"`
+	Settle   *SettleClaim     `json:"settle,omitempty"`
+	Expire   *Expire          `json:"expire,omitempty"`
+	History  *History         `json:"history,omitempty"`
+	Deploy   *Deploy          `json:"deploy,omitempty"`
+	Holder   *holder.Record   `json:"holder,omitempty"`
+	Poison   *poison.Change   `json:"poison,omitempty"`
 }
 
 // Submit creates a record or revises one.
@@ -45,15 +45,15 @@
 	Reason  string      `json:"reason,omitempty"`
 }
 
-// EndpointSet registers an endpoint or replaces its state.
-type EndpointSet struct {
+// EndpointUpdate registers an endpoint or replaces its state.
+type EndpointUpdate struct {
 	Endpoint Endpoint `json:"endpoint"`
 	Reason   string   `json:"reason"`
 }
 
-// EndpointForget removes an endpoint whose host no longer exists, together with its
+// EndpointRemoval removes an endpoint whose host no longer exists, together with its
 // replicas.
-type EndpointForget struct {
+type EndpointRemoval struct {
 	Host        ident.HostID      `json:"host"`
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Reason      string            `json:"reason"`
@@ -66,12 +66,12 @@
 	Reason string       `json:"reason"`
 }
 
-// ReplicaSet moves a replica to a phase, or removes it if Gone is set.
-type ReplicaSet struct {
-	ID     ident.Index  `json:"id"`
-	Phase  ReplicaPhase `json:"phase,omitempty"`
-	Gone   bool         `json:"gone,omitempty"`
-	Reason string       `json:"reason"`
+// ReplicaUpdate moves a replica to a phase, or removes it if Removed is set.
+type ReplicaUpdate struct {
+	ID      ident.Index  `json:"id"`
+	Phase   ReplicaPhase `json:"phase,omitempty"`
+	Removed bool         `json:"gone,omitempty"`
+	Reason  string       `json:"reason"`
 }
 
 // OpenClaim claims an idempotency key before the request runs for the first time.
@@ -106,14 +106,14 @@
 const (
 	OK              Code = "ok"
 	Invalid         Code = "invalid"       // the command is not valid; Message says why
-	Conflict        Code = "conflict"      // based on another revision; Present holds the content in force
+	Conflict        Code = "conflict"      // based on another revision; Current holds the content in force
 	NotFound        Code = "not_found"     // no such record, endpoint or replica
 	OverMemory      Code = "over_memory"   // the grant would overcommit the endpoint's memory
 	TooManyReplicas Code = "over_decided"  // the grant would exceed the maximum number of replicas
 	Unavailable     Code = "unavailable"   // the endpoint is unknown, leaving, down or without the base model
 	Stale           Code = "stale"         // an older incarnation or an outdated phase
 	InProgress      Code = "in_progress"   // another request holds the key
-	DigestDiffer    Code = "digest_differ" // the key was used with another method, path or body
+	DigestMismatch  Code = "digest_differ" // the key was used with another method, path or body
 	Full            Code = "full"          // a limit of the state is reached
 )
 
@@ -123,7 +123,7 @@
 	Index    ident.Index `json:"index"`
 	Revision ident.Index `json:"revision,omitempty"`
 	Message  string      `json:"message,omitempty"`
-	Present  *Record     `json:"present,omitempty"`
+	Current  *Record     `json:"present,omitempty"`
 	Claim    *Claim      `json:"claim,omitempty"`
 	Resent   bool        `json:"resent,omitempty"` // the request was answered before and changed nothing now
 }
--- a/internal/core/state/deployment.go
+++ b/internal/core/state/deployment.go
@@ -54,10 +54,10 @@
 // Holder returns the newest record of the host that holds the engines.
 func (s *State) Holder() holder.Record { return s.holder }
 
-// Deployed returns the answer to a deployment that would change nothing because it was
+// CheckDeploy returns the answer to a deployment that would change nothing because it was
 // sent before, is superseded or conflicts. It returns false if the deployment is new
 // and has to be committed. A repeated deployment therefore needs no log entry.
-func (s *State) Deployed(c Deploy) (Result, bool) {
+func (s *State) CheckDeploy(c Deploy) (Result, bool) {
 	known := true
 	res := s.checkDeploy(c, func() Result {
 		known = false
--- a/internal/core/state/deployment_test.go
+++ b/internal/core/state/deployment_test.go
@@ -27,7 +27,7 @@
 	is := is.New(t)
 	s := New()
 	for i, tc := range cases {
-		_, known := s.Deployed(tc.send)
+		_, known := s.CheckDeploy(tc.send)
 		is.Equal(known, tc.resent || tc.want == Conflict) // only a new version needs a log entry
 		res, _ := s.Apply(s.Index()+1, Command{By: "op", Deploy: &cases[i].send})
 		is.Equal(res.Code, tc.want)
--- a/internal/core/state/poison.go
+++ b/internal/core/state/poison.go
@@ -14,7 +14,7 @@
 // applyPoison applies a report on requests under which endpoints ended: it quarantines
 // requests that ended enough of them, and lifts quarantines on an operator's demand or
 // after the request was answered.
-func (s *State) applyPoison(by string, n poison.Note) Result {
+func (s *State) applyPoison(by string, n poison.Change) Result {
 	for _, f := range n.Lift {
 		if !s.poison.Has(f) {
 			return Result{Code: NotFound, Message: fmt.Sprintf("request %s is not quarantined", f)}
@@ -27,7 +27,7 @@
 	}
 	for _, e := range n.Ends {
 		if _, quarantined := s.suspects.Ended(s.now, e); quarantined {
-			n.Add = append(n.Add, poison.Case{Request: e.Request, Starts: s.suspects.StartsOf(e.Request), Quarantined: s.now})
+			n.Add = append(n.Add, poison.Case{Request: e.Request, Incarnations: s.suspects.IncarnationsOf(e.Request), Quarantined: s.now})
 		}
 	}
 	s.setPoison(by, n)
@@ -35,13 +35,13 @@
 }
 
 // setPoison updates the registry, writes the audit events and publishes the change.
-func (s *State) setPoison(by string, n poison.Note) {
+func (s *State) setPoison(by string, n poison.Change) {
 	for _, f := range n.Lift {
 		s.suspects.Clear(f)
 		s.log(AuditEvent{By: by, Action: ActionLift, Subject: f.String()})
 	}
 	for _, c := range n.Add {
-		s.log(AuditEvent{By: by, Action: ActionQuarantine, Subject: c.Request.String(), Reason: "ended under it: " + strings.Join(c.Starts, ", ")})
+		s.log(AuditEvent{By: by, Action: ActionQuarantine, Subject: c.Request.String(), Reason: "ended under it: " + strings.Join(c.Incarnations, ", ")})
 	}
 	next := s.poison.Next(n)
 	if next.Equal(s.poison) {
@@ -54,7 +54,7 @@
 // expireQuarantines lifts the quarantines whose time is over. Their requests stay on
 // probation: the next end of an endpoint quarantines them again.
 func (s *State) expireQuarantines() {
-	var n poison.Note
+	var n poison.Change
 	for _, f := range s.suspects.Sweep(s.now) {
 		if s.poison.Has(f) {
 			n.Lift = append(n.Lift, f)
--- a/internal/core/state/replicas.go
+++ b/internal/core/state/replicas.go
@@ -6,7 +6,7 @@
 	"github.com/cassiapass/cassiapass/internal/core/ident"
 )
 
-func (s *State) setEndpoint(by string, c EndpointSet) Result {
+func (s *State) setEndpoint(by string, c EndpointUpdate) Result {
 	e := c.Endpoint
 	old, known := s.endpoints[e.Host]
 	// A delayed registration of a process that no longer exists would otherwise
@@ -25,7 +25,7 @@
 	return Result{Code: OK, Revision: s.index}
 }
 
-func (s *State) forget(by string, c EndpointForget) Result {
+func (s *State) forget(by string, c EndpointRemoval) Result {
 	old, known := s.endpoints[c.Host]
 	if !known || old.Incarnation != c.Incarnation {
 		return Result{Code: Stale, Message: fmt.Sprintf("%s is not known under incarnation %d", c.Host, c.Incarnation)}
@@ -34,7 +34,7 @@
 		s.remove(by, s.replicas[id], c.Reason)
 	}
 	delete(s.endpoints, c.Host)
-	s.changes = append(s.changes, Change{Index: s.index, Forgot: c.Host})
+	s.changes = append(s.changes, Change{Index: s.index, RemovedEndpoint: c.Host})
 	s.log(AuditEvent{By: by, Action: ActionEndpoint, Subject: string(c.Host), Host: c.Host, Reason: "forgotten: " + c.Reason})
 	return Result{Code: OK}
 }
@@ -52,7 +52,7 @@
 	if !ok || e.Leaving || !e.Up {
 		return Result{Code: Unavailable, Message: fmt.Sprintf("endpoint %s is unknown, down or leaving", c.Host)}
 	}
-	if s.Count(c.Target) >= s.Sold(c.Target) {
+	if s.Count(c.Target) >= s.MaxReplicas(c.Target) {
 		return Result{Code: TooManyReplicas, Message: fmt.Sprintf("%d replicas of %s are decided already", s.Count(c.Target), c.Target)}
 	}
 	if s.used[c.Host]+bytes > e.Memory {
@@ -81,12 +81,12 @@
 // At returns the replica of t on host h.
 func (s *State) At(t ident.Target, h ident.HostID) (Replica, bool) { return s.at(t, h) }
 
-func (s *State) setReplica(by string, c ReplicaSet) Result {
+func (s *State) setReplica(by string, c ReplicaUpdate) Result {
 	r, ok := s.replicas[c.ID]
 	if !ok {
 		return Result{Code: NotFound, Message: fmt.Sprintf("no replica %d", c.ID)}
 	}
-	if c.Gone {
+	if c.Removed {
 		// The agent unloads adapters before their base model. If the base model was
 		// lost, its adapters are lost with it, and the reports of their removal follow.
 		for _, dep := range s.Dependents(r) {
--- a/internal/core/state/state.go
+++ b/internal/core/state/state.go
@@ -31,7 +31,7 @@
 	byTarget    map[ident.Target][]ident.Index // in ascending order
 	byPlacement map[placement]ident.Index
 	byHost      map[ident.HostID][]ident.Index
-	stated      map[ident.Target]Statement // requirements of each target, from the records in force
+	stated      map[ident.Target]Requirements // requirements of each target, from the records in force
 
 	claims   map[ClaimKey]Claim
 	expiry   map[int64][]ClaimKey // minute of expiry to keys
@@ -70,7 +70,7 @@
 		records: map[string]Record{}, results: map[string]storedResult{},
 		endpoints: map[ident.HostID]Endpoint{}, replicas: map[ident.Index]Replica{},
 		byPlacement: map[placement]ident.Index{}, byHost: map[ident.HostID][]ident.Index{},
-		used: map[ident.HostID]int64{}, byTarget: map[ident.Target][]ident.Index{}, stated: map[ident.Target]Statement{},
+		used: map[ident.HostID]int64{}, byTarget: map[ident.Target][]ident.Index{}, stated: map[ident.Target]Requirements{},
 		claims: map[ClaimKey]Claim{}, expiry: map[int64][]ClaimKey{}, open: map[ClaimKey]struct{}{},
 		history: keepalive.NewHistory(), suspects: poison.NewBook(),
 	}
@@ -124,9 +124,9 @@
 // Count returns the number of replicas of a target, in any phase.
 func (s *State) Count(t ident.Target) int { return len(s.byTarget[t]) }
 
-// Sold returns the maximum number of replicas of a target. An adapter has the
+// MaxReplicas returns the maximum number of replicas of a target. An adapter has the
 // maximum of its base model.
-func (s *State) Sold(t ident.Target) int { return s.stated[t.Base()].Max }
+func (s *State) MaxReplicas(t ident.Target) int { return s.stated[t.Base()].Max }
 
 // Claim returns the claim under key.
 func (s *State) Claim(k ClaimKey) (Claim, bool) {
--- a/internal/core/state/state_test.go
+++ b/internal/core/state/state_test.go
@@ -40,7 +40,7 @@
 )
 
 func (m *testState) endpoint(h ident.HostID, memory int64) Result {
-	return m.do(Command{Endpoint: &EndpointSet{Endpoint: Endpoint{Host: h, Incarnation: 1, Place: "p", Memory: memory, Up: true}}})
+	return m.do(Command{Endpoint: &EndpointUpdate{Endpoint: Endpoint{Host: h, Incarnation: 1, Place: "p", Memory: memory, Up: true}}})
 }
 
 func (m *testState) grant(t ident.Target, h ident.HostID) Result {
@@ -67,7 +67,7 @@
 	is.Equal(m.grant(base, "c").Code, TooManyReplicas) // the maximum is two
 	is.Equal(m.Used("a"), int64(65))
 	// Removing a base replica removes its adapter and makes another grant possible.
-	is.Equal(m.do(Command{Replica: &ReplicaSet{ID: first.Revision, Gone: true}}).Code, OK)
+	is.Equal(m.do(Command{Replica: &ReplicaUpdate{ID: first.Revision, Removed: true}}).Code, OK)
 	is.Equal(m.Count(adapter), 0)
 	is.Equal(m.grant(base, "c").Code, OK)
 }
@@ -78,9 +78,9 @@
 	m.do(Command{Submit: &Submit{Request: "1", Raw: recordText(1, 60)}})
 	m.endpoint("a", 100)
 	m.grant(base, "a")
-	is.Equal(m.do(Command{Forget: &EndpointForget{Host: "a", Incarnation: 7}}).Code, Stale)
+	is.Equal(m.do(Command{Forget: &EndpointRemoval{Host: "a", Incarnation: 7}}).Code, Stale)
 	is.Equal(m.Count(base), 1)
-	is.Equal(m.do(Command{Forget: &EndpointForget{Host: "a", Incarnation: 1}}).Code, OK)
+	is.Equal(m.do(Command{Forget: &EndpointRemoval{Host: "a", Incarnation: 1}}).Code, OK)
 	is.Equal(m.Count(base), 0)
 }
 
@@ -92,14 +92,14 @@
 	is.Equal(second.Code, OK)
 	conflicting := m.do(Command{By: "eve", Submit: &Submit{Request: "3", Base: first.Revision, Raw: recordText(3, 60)}})
 	is.Equal(conflicting.Code, Conflict)
-	is.Equal(conflicting.Present.Raw, recordText(2, 60))
+	is.Equal(conflicting.Current.Raw, recordText(2, 60))
 	raw, err := m.Encode()
 	is.NoErr(err)
 	back, err := Decode(raw)
 	is.NoErr(err)
 	r, _ := back.Record("s")
 	is.Equal(r.Raw, recordText(2, 60)) // spaces and line ends included
-	is.Equal(back.Sold(base), 2)
+	is.Equal(back.MaxReplicas(base), 2)
 	again, _ := back.Apply(back.Index()+1, Command{Submit: &Submit{Request: "1", Raw: recordText(1, 60)}})
 	is.True(again.Resent) // after a snapshot too
 	is.Equal(again.Revision, first.Revision)
--- a/internal/core/state/statement.go
+++ b/internal/core/state/statement.go
@@ -8,8 +8,8 @@
 	"github.com/cassiapass/cassiapass/internal/core/record"
 )
 
-// Statement is the requirements of one target, aggregated over all records in force.
-type Statement struct {
+// Requirements are the requirements of one target, aggregated over all records in force.
+type Requirements struct {
 	Bytes       int64         // largest size in any record
 	Min, Max    int           // replicas, summed over the records: each sells its own replicas
 	FirstAnswer time.Duration // shortest in any record
@@ -17,14 +17,14 @@
 	Places      []string
 }
 
-// Stated returns the requirements of a target, and false if no record in force names it.
-func (s *State) Stated(t ident.Target) (Statement, bool) {
+// RequirementsOf returns the requirements of a target, and false if no record in force names it.
+func (s *State) RequirementsOf(t ident.Target) (Requirements, bool) {
 	st, ok := s.stated[t]
 	return st, ok
 }
 
-// EachStated calls f for every target of the records in force, in unspecified order.
-func (s *State) EachStated(f func(ident.Target, Statement)) {
+// EachTarget calls f for every target of the records in force, in unspecified order.
+func (s *State) EachTarget(f func(ident.Target, Requirements)) {
 	for t, st := range s.stated {
 		f(t, st)
 	}
--- a/internal/core/state/types.go
+++ b/internal/core/state/types.go
@@ -138,13 +138,13 @@
 
 // Change is one change of the state as it is published to subscribers.
 type Change struct {
-	Index    ident.Index  `json:"index"`
-	Record   *Record      `json:"record,omitempty"`
-	Endpoint *Endpoint    `json:"endpoint,omitempty"`
-	Forgot   ident.HostID `json:"forgot,omitempty"` // endpoint that was removed
-	Replica  *Replica     `json:"replica,omitempty"`
-	Removed  ident.Index  `json:"removed,omitempty"` // replica that was removed
-	Host     ident.HostID `json:"host,omitempty"`    // where the removed replica was
+	Index           ident.Index  `json:"index"`
+	Record          *Record      `json:"record,omitempty"`
+	Endpoint        *Endpoint    `json:"endpoint,omitempty"`
+	RemovedEndpoint ident.HostID `json:"forgot,omitempty"` // endpoint that was removed
+	Replica         *Replica     `json:"replica,omitempty"`
+	Removed         ident.Index  `json:"removed,omitempty"` // replica that was removed
+	Host            ident.HostID `json:"host,omitempty"`    // where the removed replica was
 	// Poison is the complete registry of quarantined requests.
 	Poison *poison.Registry `json:"poison,omitempty"`
 }
--- a/internal/core/stream/stream.go
+++ b/internal/core/stream/stream.go
@@ -20,10 +20,10 @@
 // NewSender returns a Sender that holds at most window unacknowledged bytes.
 func NewSender(window int) *Sender { return &Sender{window: window} }
 
-// Room returns the number of bytes that may be written now. At zero, the producer
+// Free returns the number of bytes that may be written now. At zero, the producer
 // stops reading its source, so a slow reader slows the source down instead of
 // filling memory.
-func (s *Sender) Room() int { return max(0, s.window-len(s.buf)) }
+func (s *Sender) Free() int { return max(0, s.window-len(s.buf)) }
 
 // Write appends p. The caller must not exceed the free part of the window.
 func (s *Sender) Write(p []byte) { s.buf = append(s.buf, p...) }
@@ -85,5 +85,5 @@
 	return p[skip:], nil
 }
 
-// Whole reports whether the whole of an answer with the given length was received.
-func (r *Receiver) Whole(total int64) bool { return r.next == total }
+// Complete reports whether the whole of an answer with the given length was received.
+func (r *Receiver) Complete(total int64) bool { return r.next == total }
--- a/internal/core/stream/stream_test.go
+++ b/internal/core/stream/stream_test.go
@@ -22,8 +22,8 @@
 		s, recv := NewSender(256), &Receiver{}
 		var got []byte
 		written, sent := 0, int64(0)
-		for !recv.Whole(int64(len(want))) {
-			if n := min(s.Room(), len(want)-written, 1+r.IntN(100)); n > 0 {
+		for !recv.Complete(int64(len(want))) {
+			if n := min(s.Free(), len(want)-written, 1+r.IntN(100)); n > 0 {
 				s.Write(want[written : written+n])
 				written += n
 			}
@@ -63,9 +63,9 @@
 	is := is.New(t)
 	s := NewSender(10)
 	s.Write([]byte("0123456789"))
-	is.Equal(s.Room(), 0)
+	is.Equal(s.Free(), 0)
 	s.Ack(4)
-	is.Equal(s.Room(), 4)
+	is.Equal(s.Free(), 4)
 	_, ok := s.From(3, 10)
 	is.True(!ok)
 	b, ok := s.From(4, 3)
--- a/internal/core/view/view.go
+++ b/internal/core/view/view.go
@@ -114,8 +114,8 @@
 		return v.applyRecord(c.Record.Name, *c.Record)
 	case c.Endpoint != nil:
 		v.endpoints[c.Endpoint.Host] = *c.Endpoint
-	case c.Forgot != "":
-		delete(v.endpoints, c.Forgot)
+	case c.RemovedEndpoint != "":
+		delete(v.endpoints, c.RemovedEndpoint)
 	case c.Replica != nil:
 		v.putReplica(*c.Replica)
 	case c.Removed != 0:
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -299,10 +299,10 @@
 
 const defaultTokens = 8
 
-// Text returns the tokens of the answer that any engine gives to a request body. They
+// AnswerText returns the tokens of the answer that any engine gives to a request body. They
 // depend on the body without its model only, so that a test can tell a caller's own
 // answer from another's.
-func Text(body []byte, tokens int) []string {
+func AnswerText(body []byte, tokens int) []string {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(body, &fields) == nil {
 		delete(fields, "model")
@@ -359,7 +359,7 @@
 // generate writes the answer token by token.
 func (e *Engine) generate(a *answer, b completionBody, body []byte) {
 	time.Sleep(e.cfg.FirstToken)
-	tokens := Text(body, b.MaxTokens)
+	tokens := AnswerText(body, b.MaxTokens)
 	for i, tok := range tokens {
 		if i > 0 && e.cfg.TokenEvery > 0 {
 			time.Sleep(e.cfg.TokenEvery)
--- a/internal/fake/outside.go
+++ b/internal/fake/outside.go
@@ -124,8 +124,8 @@
 // NewPlain returns a Plain with no requests counted.
 func NewPlain() *Plain { return &Plain{bodies: map[string]int{}} }
 
-// Filed returns how often each body was posted.
-func (p *Plain) Filed() map[string]int {
+// Posted returns how often each body was posted.
+func (p *Plain) Posted() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make(map[string]int, len(p.bodies))
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -85,18 +85,18 @@
 	r.target = t
 }
 
-// SetDeaf makes all connections silent, or ends that. Connections that were silenced
+// SetDropAll makes all connections silent, or ends that. Connections that were silenced
 // stay silent.
-func (r *Relay) SetDeaf(on bool) {
+func (r *Relay) SetDropAll(on bool) {
 	r.dropAll.Store(on)
 	if on {
-		r.SilenceOpen()
+		r.SilenceConns()
 	}
 }
 
-// SetMute drops the data from the target while data to it still arrives, or ends that.
+// SetDropReplies drops the data from the target while data to it still arrives, or ends that.
 // It simulates a path that fails in one direction.
-func (r *Relay) SetMute(on bool) { r.dropReplies.Store(on) }
+func (r *Relay) SetDropReplies(on bool) { r.dropReplies.Store(on) }
 
 // Reset closes the open connections with a TCP reset.
 func (r *Relay) Reset() {
@@ -118,8 +118,8 @@
 // SetLink makes new connections share a Link in both directions; nil means no limit.
 func (r *Relay) SetLink(l *Link) { r.link.Store(l) }
 
-// SilenceOpen makes the open connections silent permanently; new ones work.
-func (r *Relay) SilenceOpen() {
+// SilenceConns makes the open connections silent permanently; new ones work.
+func (r *Relay) SilenceConns() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p := range r.pairs {
@@ -127,8 +127,8 @@
 	}
 }
 
-// Cut closes the open connections.
-func (r *Relay) Cut() {
+// CloseConns closes the open connections.
+func (r *Relay) CloseConns() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p := range r.pairs {
@@ -139,7 +139,7 @@
 // Close stops the relay and closes its connections.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
-	r.Cut()
+	r.CloseConns()
 }
 
 func (p *pair) close() {
--- a/internal/wire/pack.go
+++ b/internal/wire/pack.go
@@ -12,13 +12,13 @@
 // 0.3 MB.
 const maxDecompressed = 64 << 20
 
-// errTooLarge means that a value is larger than any that Pack is used for.
+// errTooLarge means that a value is larger than any that Compress is used for.
 var errTooLarge = errors.New("the decompressed value is too large")
 
-// Pack returns a value as compressed JSON. It fails if the value cannot be encoded.
+// Compress returns a value as compressed JSON. It fails if the value cannot be encoded.
 // What entries receive is repetitive: 3,000 endpoints take 0.8 MB as JSON and a ninth of
 // that compressed, and a deployment of 50 kB takes a tenth.
-func Pack(v any) ([]byte, error) {
+func Compress(v any) ([]byte, error) {
 	var b bytes.Buffer
 	z := gzip.NewWriter(&b)
 	if err := json.NewEncoder(z).Encode(v); err != nil {
@@ -30,9 +30,9 @@
 	return b.Bytes(), nil
 }
 
-// Unpack decodes what Pack returned. It fails on malformed data and on values that are too
+// Decompress decodes what Compress returned. It fails on malformed data and on values that are too
 // large.
-func Unpack(packed []byte, into any) error {
+func Decompress(packed []byte, into any) error {
 	z, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return err
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -27,8 +27,8 @@
 	MethodBeat       = "beat"       // Beat -> BeatResult
 	MethodSessions   = "sessions"   // Sessions -> SessionsResult, control host to leader
 	MethodDemand     = "demand"     // DemandParams -> DemandResult
-	MethodFresh      = "fresh"      // FreshParams -> FreshResult
-	MethodClaim      = "claim"      // ClaimParams -> ClaimResult
+	MethodFresh      = "fresh"      // -> FreshResult
+	MethodClaim      = "claim"      // ClaimParams -> state.Result
 	MethodStatus     = "status"     // -> ControlStatus
 	MethodMember     = "member"     // MemberParams -> MemberResult
 	MethodJoin       = "join"       // JoinParams -> JoinResult; the leader decides when to admit
@@ -45,7 +45,7 @@
 	MethodRun    = "run"    // RunParams -> RunResult
 	MethodResume = "resume" // ResumeParams -> RunResult
 	MethodAck    = "ack"    // notification Ack
-	MethodCancel = "cancel" // CancelParams -> CancelResult
+	MethodCancel = "cancel" // CancelParams -> RunResult
 	MethodPart   = "part"   // notification Part, agent to entry
 	MethodEnd    = "end"    // notification End, agent to entry
 	MethodPing   = "ping"   // -> routing.Load
@@ -299,9 +299,9 @@
 
 // Suspects is the published state of the requests under which endpoints ended.
 type Suspects struct {
-	Mark SuspectMark   `json:"mark"`
-	Key  poison.Key    `json:"key"`            // of the fingerprints
-	Told []poison.Told `json:"told,omitempty"` // complete: other requests are not suspect
+	Mark SuspectMark     `json:"mark"`
+	Key  poison.Key      `json:"key"`            // of the fingerprints
+	Told []poison.Update `json:"told,omitempty"` // complete: other requests are not suspect
 }
 
 // PullResult answers PullParams with the changes. Absent parts are unchanged.
@@ -312,14 +312,14 @@
 	Term       uint64             `json:"term"`
 	Rev        uint64             `json:"rev"`
 	Endpoints  *[]fleet.Endpoint  `json:"endpoints,omitempty"` // all, or with Delta those that changed
-	Packed     []byte             `json:"packed,omitempty"`    // replaces Endpoints if there are many; by Pack
+	Packed     []byte             `json:"packed,omitempty"`    // replaces Endpoints if there are many; by Compress
 	Delta      bool               `json:"delta,omitempty"`
 	Removed    []fleet.EndpointID `json:"removed,omitempty"`    // with Delta
 	ListAge    time.Duration      `json:"listAge"`              // since the platform's list was read
 	ListUsual  time.Duration      `json:"listUsual"`            // age that it typically reaches
 	Running    json.RawMessage    `json:"running,omitempty"`    // requests in progress, a map[fleet.EndpointID]int encoded once for all entries
 	ETAs       []fleet.ETA        `json:"etas,omitempty"`       // all, or with Delta those that changed
-	Deployment []byte             `json:"deployment,omitempty"` // a state.Deployment, by Pack
+	Deployment []byte             `json:"deployment,omitempty"` // a state.Deployment, by Compress
 	Entries    int                `json:"entries"`              // live entries
 	Suspects   *Suspects          `json:"suspects,omitempty"`
 }
