--- a/internal/core/bound/doc.go
+++ b/internal/core/bound/doc.go
@@ -30,8 +30,8 @@
 //     time between From and InTime, the smaller value only if it is held at some time between
 //     From and Late.
 //   - With OnDemand, a load does not begin before a request has arrived since the previous
-//     residence. This constrains only policies that load nothing in advance, and no second
-//     replica while the first one is being unloaded.
+//     residence. The bound then holds only for policies that load nothing in advance, and no
+//     second replica while the first one is being unloaded.
 //
 // # Why no policy exceeds the bound
 //
--- a/internal/core/fleet/choose.go
+++ b/internal/core/fleet/choose.go
@@ -14,7 +14,7 @@
 	// there while another zone is idle.
 	otherZonePenalty = 0.05
 	// failingWeight is the weight of the share of recent failures. An endpoint that fails
-	// half its requests is chosen only after every endpoint that is not full.
+	// half its requests scores worse than any healthy endpoint that is not full.
 	failingWeight = 3
 )
 
--- a/internal/core/fleet/demand.go
+++ b/internal/core/fleet/demand.go
@@ -11,7 +11,7 @@
 type Demand struct {
 	Want     Want          `json:"want"`
 	Arrived  int           `json:"arrived,omitempty"`  // requests accepted
-	Refused  int           `json:"away,omitempty"`     // requests refused until the model is held
+	Refused  int           `json:"away,omitempty"`     // requests refused with the time at which the model will be held
 	Waiting  int           `json:"waiting,omitempty"`  // requests that no engine can accept now
 	Oldest   time.Duration `json:"oldest,omitempty"`   // age of the oldest waiting request
 	Earliest time.Duration `json:"earliest,omitempty"` // least time left of a waiting request
@@ -98,7 +98,8 @@
 	return out
 }
 
-// deadline is the time within which an answer still has its full value.
+// deadline is the time within which an answer still has the highest value possible: until
+// the objective, or until the caller's limit if no objective can be met or with byUrgency.
 func (s *demand) deadline(byUrgency bool) time.Duration {
 	if s.inTime > 0 && !byUrgency {
 		return s.due
--- a/internal/core/fleet/engine.go
+++ b/internal/core/fleet/engine.go
@@ -216,7 +216,7 @@
 }
 
 // adapterCount returns the number of adapters held, including those that are loading or may
-// still be loaded by late orders.
+// still be loaded by late orders of earlier incarnations.
 func (e *engine) adapterCount() int {
 	n := 0
 	for _, h := range e.held {
@@ -234,7 +234,7 @@
 }
 
 // weights returns the megabytes used by models, including those that are loading or may
-// still be loaded by late orders.
+// still be loaded by late orders of earlier incarnations.
 func (e *engine) weights(eng *deploy.Engine) int64 {
 	var sum int64
 	for name := range e.held {
--- a/internal/core/fleet/incarnation.go
+++ b/internal/core/fleet/incarnation.go
@@ -24,10 +24,10 @@
 }
 
 // LatestIncarnations returns the listed endpoints, each replaced by the known incarnation where the
-// listed one is earlier: lists and reports lag, each by a different time. A listed
-// incarnation without a start time is assumed to be the known one. Without this, an engine
-// that has restarted is considered gone, or still in its previous state, until the list has
-// caught up, and orders are decided for models that it no longer holds.
+// listed one is earlier: lists and reports lag, each by a different time. If the start time
+// of either is unknown, both are assumed to be the same incarnation. Without this, an engine
+// that has restarted is considered removed, or still in its previous state, until the list
+// has caught up, and orders are decided for models that it no longer holds.
 func LatestIncarnations(eps []Endpoint, known map[string]Endpoint) []Endpoint {
 	out := make([]Endpoint, 0, len(eps))
 	for _, ep := range eps {
@@ -88,8 +88,8 @@
 	Previous EndpointID
 }
 
-// pruneInherited drops the late loads of earlier incarnations that can no longer be
-// accepted, and returns the others.
+// pruneInherited keeps and returns the late loads of earlier incarnations that may still be
+// accepted. It drops all other late orders.
 func (e *engine) pruneInherited(now time.Time) []lateOrder {
 	kept := e.inherited[:0]
 	for _, l := range e.inherited {
--- a/internal/core/fleet/orders.go
+++ b/internal/core/fleet/orders.go
@@ -26,9 +26,9 @@
 	queryInterval = 100 * time.Millisecond
 	// reportLag is added to an order's expected end before the first query.
 	reportLag = 110 * time.Millisecond
-	// unsettledWait is how long the planner issues no order after it detected one that it
-	// did not see accepted: until then a report may show that order's sequence number
-	// without its effect.
+	// unsettledWait is how long the planner issues no order to an engine after a refusal, or
+	// after it detected an order that it did not see accepted: until then a report may be
+	// older than the refusal, or show that order's sequence number without its effect.
 	unsettledWait = 250 * time.Millisecond
 	// settleMargin is added to an order's expected duration before it is assumed done.
 	settleMargin = 10 * time.Millisecond
--- a/internal/core/fleet/quarantine.go
+++ b/internal/core/fleet/quarantine.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// recordLoaded records what a report shows as held: a load of that did not end its engine.
+// recordLoaded clears the ends of engines that were attributed to loads of what a report
+// shows as held: the load completed without ending the engine.
 func (p *Planner) recordLoaded(e *engine, held []Held) {
 	if e.newestLoad.until.IsZero() && p.loadFaults.Len() == 0 {
 		return
--- a/internal/core/fleet/results.go
+++ b/internal/core/fleet/results.go
@@ -193,7 +193,8 @@
 	}
 }
 
-// checkProgress ends an accepted order when the report shows its effect.
+// checkProgress ends an accepted order when the report shows its effect, or still lacks it
+// OrderTimeout after it was due.
 func (p *Planner) checkProgress(now time.Time, e *engine, r Report) {
 	if r.Busy || (e.order.Want.Adapter != "" && slices.Contains(r.Pending, e.order.Want.Model+"/"+e.order.Want.Adapter)) {
 		return
--- a/internal/core/fleet/sim_test.go
+++ b/internal/core/fleet/sim_test.go
@@ -29,7 +29,7 @@
 	listLagsUntil   time.Time
 	disk            map[string]bool
 	fatalModel      string // model whose load ends the process
-	fatalLoads      int    // such loads
+	fatalLoads      int    // loads that ended the process
 }
 
 type pastReport struct {
--- a/internal/core/fleet/survey.go
+++ b/internal/core/fleet/survey.go
@@ -92,7 +92,8 @@
 	return f
 }
 
-// victim is a model that could be evicted, with the expected cost in seconds.
+// victim is a model that could be evicted, with the cost of losing it: for victims an
+// expected time in seconds, for spareable the request rate. Only costs of one kind are compared.
 type victim struct {
 	name string
 	cost float64
@@ -111,8 +112,9 @@
 const busyRate = 1.0
 
 // victims returns the idle models of an engine, the cheapest to lose first. The cost of a
-// model is its reload time multiplied by the probability that it is requested soon; one that
-// another engine holds as well costs next to nothing.
+// model is its load time from disk multiplied by its request rate, up to 2 a second, as a
+// measure of how likely it is requested soon. The rate counts a quarter for a model that
+// another engine holds as well.
 func (p *Planner) victims(now time.Time, e *engine, eng *deploy.Engine) []victim {
 	var out []victim
 	for name, h := range e.held {
--- a/internal/core/ledger/ledger.go
+++ b/internal/core/ledger/ledger.go
@@ -19,7 +19,7 @@
 	Loaded    Phase = "loaded"    // confirmed by the engine
 	Draining  Phase = "draining"  // accepts no new work; work in progress continues
 	Unloading Phase = "unloading" // unload order sent
-	Uncertain Phase = "uncertain" // an order ended without an answer; the engine's list will settle it
+	Uncertain Phase = "uncertain" // unknown, as after an order without an answer; the engine's list will settle it
 )
 
 // Grant is a placement that control has decided for this endpoint.
--- a/internal/core/stream/stream.go
+++ b/internal/core/stream/stream.go
@@ -25,7 +25,7 @@
 // filling memory.
 func (s *Sender) Free() int { return max(0, s.window-len(s.buf)) }
 
-// Write appends p. The caller must not exceed the free part of the window.
+// Write appends p, which must not be longer than Free. Write does not check this.
 func (s *Sender) Write(p []byte) { s.buf = append(s.buf, p...) }
 
 // End returns the offset after the last byte written.
