--- a/internal/core/consensus/node.go
+++ b/internal/core/consensus/node.go
@@ -11,10 +11,10 @@
 	maxInflight    = 64      // unanswered appends to one member
 	maxUncommitted = 16384   // proposals that may wait for the quorum
 	resendTicks    = 20      // ticks after which an unanswered append is sent again
-	// resendBytes extends the resend time by one tick for each so many bytes under way:
-	// 0.6 MB/s with ticks of 50 ms, a third of the share of each of seven members in a
-	// link of 100 Mbit/s. Otherwise a large entry would be sent again, forever, while
-	// its first copy is still under way.
+	// resendBytes is the number of bytes under way that extend the resend time by one
+	// tick: 0.6 MB/s with ticks of 50 ms, a third of the share of each of seven members
+	// in a link of 100 Mbit/s. Otherwise a large entry would be sent again, forever,
+	// while its first copy is still under way.
 	resendBytes = 32 << 10
 )
 
--- a/internal/core/contact/book.go
+++ b/internal/core/contact/book.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// lostInterval is the minimum time between two greetings of a lost host to the same
+	// lostInterval is the minimum time between two greetings of a Disconnected host to the same
 	// address; leaderInterval and followerInterval are those of members. A restarted host
 	// without a disk rejoins after an election of 0.8 s, one greeting of the leader and
 	// one request to join: within 3 s, of the 12 s within which callers must be served
--- a/internal/core/customer/key.go
+++ b/internal/core/customer/key.go
@@ -27,8 +27,8 @@
 // for anyone who can replay it.
 func (Digest) String() string { return redacted }
 
-// Digester computes digests of keys with a secret. Without the secret nobody can construct
-// keys that collide in a bucket of the look-up table.
+// Digester computes digests of keys with a secret. Keys that collide in a bucket of the
+// look-up table cannot be constructed without the secret.
 type Digester struct{ secret []byte }
 
 // NewDigester returns a Digester; each process should generate a random secret of its own.
--- a/internal/core/deploy/deploy.go
+++ b/internal/core/deploy/deploy.go
@@ -88,8 +88,8 @@
 	FromMemory  time.Duration
 }
 
-// Limits bound the size of a request and the time in which a caller must send it, and
-// how long a connection may stay idle.
+// Limits bound the size of a request, the time in which a caller must send its header,
+// and how long a connection may stay idle.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
--- a/internal/core/poison/fingerprint.go
+++ b/internal/core/poison/fingerprint.go
@@ -8,9 +8,9 @@
 	"errors"
 )
 
-// Key is the key of the fingerprints; all processes of a deployment use the same one. Without
-// it nobody can construct two requests with the same fingerprint, or check a guess of a request
-// against a fingerprint in a log.
+// Key is the key of the fingerprints; all processes of a deployment use the same one. A caller
+// without it can neither construct two requests with the same fingerprint nor check a guess of
+// a request against a fingerprint in a log.
 type Key []byte
 
 // KeySize is the length of a Key in bytes.
--- a/internal/core/poison/registry.go
+++ b/internal/core/poison/registry.go
@@ -25,8 +25,8 @@
 	Answered []Fingerprint `json:"answered,omitempty"` // completely, though ends were observed
 }
 
-// Next returns the registry after a note. The first key is kept: fingerprints made with
-// another key would match no known request. Quarantines end only by a note, never by the time
+// Next returns the registry after a change. The first key is kept: fingerprints made with
+// another key would match no known request. Quarantines end only by a Change, never by the time
 // of day, on which hosts do not agree and which may jump.
 func (r Registry) Next(n Change) Registry {
 	if len(r.Key) == 0 {
--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -1,9 +1,9 @@
 // Package routing chooses the endpoint for one attempt of a request.
 //
 // Two endpoints are drawn at random and the less loaded one is chosen, from the
-// entry's own availability zone first. Load is the greater of what the agent reported
-// with its latest answer, which decays with its age and is only an estimate, and of
-// this entry's requests in flight. A prompt prefix seen before is a hint that decides
+// entry's own availability zone first. Load is the greater of two numbers: the load that
+// the agent reported with its latest answer, which decays with its age and is only an
+// estimate, and this entry's requests in flight. A prompt prefix seen before is a hint that decides
 // between endpoints of similar load. Endpoints that fail are ejected for a growing
 // time, but never so many that the rest would be overloaded.
 package routing
--- a/internal/core/state/claims.go
+++ b/internal/core/state/claims.go
@@ -28,9 +28,9 @@
 	return Result{Code: OK, Claim: &claim}
 }
 
-// settle records the outcome of an open claim. Only the request that opened the claim
-// may settle it: a late message of an earlier request under the same key has no
-// effect.
+// settle records the outcome of an open claim, or a late answer to an unknown one. Only
+// the request that opened the claim may settle it: a late message of an earlier request
+// under the same key has no effect.
 func (s *State) settle(c SettleClaim) Result {
 	old, ok := s.claims[c.Key]
 	if !ok || old.Request != c.Request {
--- a/internal/core/state/command.go
+++ b/internal/core/state/command.go
@@ -91,7 +91,8 @@
 	Answer  *Answer         `json:"answer,omitempty"`
 }
 
-// Expire drops claims and quarantines whose time is over at the command's time.
+// Expire drops claims, and quarantines that the state machine decided, whose time is over at
+// the command's time.
 type Expire struct{}
 
 // History adds observed idle times to the keep-alive statistics.
@@ -109,11 +110,11 @@
 	Conflict        Code = "conflict"      // based on another revision; Current holds the content in force
 	NotFound        Code = "not_found"     // no such record, endpoint or replica
 	OverMemory      Code = "over_memory"   // the grant would overcommit the endpoint's memory
-	TooManyReplicas Code = "over_decided"  // the grant would exceed the maximum number of replicas
+	TooManyReplicas Code = "over_decided"  // the grant would exceed the maximum number of replicas, or the host has one already
 	Unavailable     Code = "unavailable"   // the endpoint is unknown, leaving, down or without the base model
 	Stale           Code = "stale"         // an older incarnation or an outdated phase
 	InProgress      Code = "in_progress"   // another request holds the key
-	DigestMismatch  Code = "digest_differ" // the key was used with another method, path or body
+	DigestMismatch  Code = "digest_differ" // the key was used with a request of another digest
 	Full            Code = "full"          // a limit of the state is reached
 )
 
@@ -125,5 +126,5 @@
 	Message  string      `json:"message,omitempty"`
 	Current  *Record     `json:"present,omitempty"`
 	Claim    *Claim      `json:"claim,omitempty"`
-	Resent   bool        `json:"resent,omitempty"` // the request was answered before and changed nothing now
+	Resent   bool        `json:"resent,omitempty"` // the request was answered before or is superseded, and changed nothing now
 }
--- a/internal/core/state/poison.go
+++ b/internal/core/state/poison.go
@@ -11,9 +11,9 @@
 // The caller must not modify it.
 func (s *State) Poison() poison.Registry { return s.poison }
 
-// applyPoison applies a report on requests under which endpoints ended: it quarantines
-// requests that ended enough of them, and lifts quarantines on an operator's demand or
-// after the request was answered.
+// applyPoison applies a change of the quarantines as it was submitted (Add, Lift), and the
+// observations of entries: it quarantines requests with enough reported ends, and lifts the
+// quarantines of requests that were answered.
 func (s *State) applyPoison(by string, n poison.Change) Result {
 	for _, f := range n.Lift {
 		if !s.poison.Has(f) {
@@ -51,8 +51,9 @@
 	s.changes = append(s.changes, Change{Index: s.index, Poison: &next})
 }
 
-// expireQuarantines lifts the quarantines whose time is over. Their requests stay on
-// probation: the next end of an endpoint quarantines them again.
+// expireQuarantines lifts the quarantines that the state machine itself decided from reported
+// ends and whose time is over; those submitted as Change.Add are lifted by a Change only. The
+// requests stay on probation: the next end of an endpoint quarantines them again.
 func (s *State) expireQuarantines() {
 	var n poison.Change
 	for _, f := range s.suspects.Sweep(s.now) {
