--- a/internal/app/control/contacts.go
+++ b/internal/app/control/contacts.go
@@ -17,8 +17,9 @@
 	// greetInterval is the time between checks for hosts that are due to be greeted.
 	greetInterval = 250 * time.Millisecond
 	greetTimeout  = 400 * time.Millisecond
-	// maxLeaderless is how long a member goes without a leader before it counts as lost
-	// and asks to join: it may have been removed while it was down, and no host notifies it.
+	// maxLeaderless is how long a member goes without a leader before it counts as
+	// disconnected and asks to join: it may have been removed while it was down, and no host
+	// notifies it.
 	maxLeaderless = 2 * time.Second
 	// silenceLimit is how long a member is silent before the leader greets its address to find
 	// out which host is there now: longer than two heartbeats to a member without a vote.
@@ -96,7 +97,7 @@
 		_, member := st.Membership.Find(c.id)
 		switch {
 		case !member || st.Leader == consensus.None && now.Sub(leaderSeen) >= maxLeaderless:
-			return // lost
+			return // disconnected, the zero value
 		case st.Leader != c.id || c.loop.roster == nil:
 			s.Standing = contact.Following
 		default:
@@ -142,8 +143,8 @@
 	return g
 }
 
-// greet sends this host's greeting to one host and applies the answer. A lost host also asks
-// it to forward a request to join, if it has a leader.
+// greet sends this host's greeting to one host and applies the answer. A disconnected
+// host also asks it to forward a request to join, if it has a leader.
 func (c *Control) greet(ctx context.Context, addr string, s contact.Standing) {
 	ctx, cancel := context.WithTimeout(ctx, greetTimeout)
 	defer cancel()
--- a/internal/app/control/duties.go
+++ b/internal/app/control/duties.go
@@ -19,7 +19,8 @@
 )
 
 // duties holds what a control host does only while it leads: placement, leases of
-// processes and expiry of claims. It is set up again in each term that this host leads.
+// processes, and expiry of claims and quarantines. It is set up again in each term that
+// this host leads.
 type duties struct {
 	log            zerolog.Logger
 	cfg            placement.Config
--- a/internal/app/controller/calls.go
+++ b/internal/app/controller/calls.go
@@ -86,7 +86,7 @@
 }
 
 const (
-	// smallAnswer is the size in bytes from which on an answer is paced.
+	// smallAnswer is the size in bytes below which an answer is sent at once, without pacing.
 	smallAnswer = 2 << 10
 	// maxSendWait bounds how long an answer waits for its slot on the link. It is
 	// shorter than the time that the entry allows beyond the hold time.
@@ -95,7 +95,7 @@
 
 // pace returns an answer when the link has capacity for it. If that takes longer than
 // maxSendWait, it returns the answer without the endpoints and the deployment: the entry
-// continues with its present state and calls again. Without it, a change to 1,500
+// continues with its present state and calls again. Without pacing, a change to 1,500
 // endpoints is sent to 300 entries at the same moment; the leader's heartbeats queue
 // behind 16 MB, and another leader is elected, which sends all of it again.
 func (c *Controller) pace(ctx context.Context, host ident.HostID, r wire.PullResult) (wire.PullResult, error) {
--- a/internal/app/controller/holding.go
+++ b/internal/app/controller/holding.go
@@ -21,7 +21,7 @@
 	allowedFrom time.Time // when it may become the holder
 	recorded    bool      // the log records it as the holder: it may send orders
 	recordedAt  time.Time // when that was recorded
-	settled     bool      // the log records it as settled
+	settled     bool      // the log records that it has held them for a lease
 	committing  bool      // a commit is in progress
 	attemptedAt time.Time // start of the last attempt to commit
 }
@@ -41,7 +41,7 @@
 }
 
 // updateHolding commits what is due: first that this leader holds the engines, later that it
-// has settled.
+// has settled, which is that it has held them for a lease and orderTimeout.
 func (c *Controller) updateHolding(now time.Time) {
 	h := &c.holding
 	switch {
--- a/internal/app/controller/publish.go
+++ b/internal/app/controller/publish.go
@@ -30,7 +30,7 @@
 	switch {
 	case !c.unpublished || !c.listOK:
 	case now.Sub(c.publishedAll) >= publishPerEntry*time.Duration(len(c.entries)):
-		c.planner.AwaitingEntries() // the waiting entries are among all
+		c.planner.AwaitingEntries() // resets it; the waiting entries are among all
 		c.unpublished, c.publishedAll, c.publishedAny = false, now, now
 		c.rev++
 		c.pub.publishAll(c.rev, c.planner.Endpoints())
--- a/internal/app/controller/publisher.go
+++ b/internal/app/controller/publisher.go
@@ -230,7 +230,7 @@
 	pub.compressed[from] = r.Packed
 }
 
-// compressFrom is the number of endpoints from which on they are sent compressed.
+// compressFrom is the minimum number of endpoints that are sent compressed.
 const compressFrom = 100
 
 // compress compresses a value. Callers do so once for all entries that miss the same state:
--- a/internal/app/follow/follow.go
+++ b/internal/app/follow/follow.go
@@ -295,8 +295,8 @@
 		err = f.applyChanges(c)
 	}
 	if err != nil {
-		// Without the connection closed, the process would act on a view that is
-		// missing a change.
+		// With the connection kept open, the process would act on a view that is missing
+		// a change. The next session subscribes from the last applied index.
 		f.cfg.Log.Error().Err(err).Msg("changes_refused")
 		conn.Close()
 		return nil, err
--- a/internal/app/gateway/attempt.go
+++ b/internal/app/gateway/attempt.go
@@ -201,8 +201,8 @@
 		err = x.c.WriteBody(first)
 	}
 	if err != nil {
-		// The caller has left. Once dropped, the connection no longer counts
-		// towards the endpoint's limit.
+		// The caller has left. Abort closes the connection, which then no longer
+		// counts towards the endpoint's limit.
 		resp.Abort()
 		return result{outcome: abandoned, final: true}, nil
 	}
--- a/internal/app/gateway/poison.go
+++ b/internal/app/gateway/poison.go
@@ -9,12 +9,12 @@
 
 // livenessWait bounds how long an exchange waits to learn whether the endpoint ended with
 // it. A refused dial takes about 3 ms; a silent endpoint is checked while the request
-// goes on.
+// continues.
 const livenessWait = 50 * time.Millisecond
 
 // fingerprint identifies the request by what an endpoint receives of it, without what differs
 // between repeats. It does not include the caller's address; it includes the customer, so that
-// nobody can have another customer's requests refused. It returns false while no leader has
+// no customer can have another customer's requests refused. It returns false while no leader has
 // published the key.
 func (x *exchange) fingerprint() (poison.Fingerprint, bool) {
 	if !x.fpKnown {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -329,8 +329,8 @@
 	Host    ident.HostID   `json:"host"`
 	Demands []fleet.Demand `json:"demands,omitempty"`
 	Uses    []fleet.Use    `json:"uses,omitempty"`
-	// Ends are newly ended endpoints with the requests that they ran, and Answered suspect
-	// requests that ran without ending an endpoint.
+	// Ends are newly observed ends of endpoints, each with a request that ran there. Answered
+	// are suspect requests that were answered without ending an endpoint.
 	Ends     []poison.End         `json:"ends,omitempty"`
 	Answered []poison.Fingerprint `json:"answered,omitempty"`
 }
