--- a/internal/adapter/http1/http1_test.go
+++ b/internal/adapter/http1/http1_test.go
@@ -43,7 +43,7 @@
 
 // A head that two parsers could end at different places must be refused. Otherwise what
 // the first parser reads as a body can be a request to the second, and an endpoint runs a
-// request that nobody sent.
+// request that no caller sent.
 func TestAmbiguousHeadsAreRefused(t *testing.T) {
 	const start = "POST /a HTTP/1.1\r\nHost: x\r\n"
 	cases := map[string]struct {
--- a/internal/app/agent/agent.go
+++ b/internal/app/agent/agent.go
@@ -289,7 +289,8 @@
 	}
 }
 
-// tick expires waiting requests and runs, and starts the engine orders that are
+// tick ends waiting requests whose deadline has passed, removes or cancels runs (see
+// reap), and starts the engine orders and the listing of cached checkpoints that are
 // due.
 func (a *Agent) tick(now time.Time) {
 	a.mu.Lock()
--- a/internal/app/agent/runs.go
+++ b/internal/app/agent/runs.go
@@ -333,7 +333,7 @@
 }
 
 // sendAnswer sends a run's answer over its current connection until the run is
-// removed.
+// removed or the agent stops.
 func (a *Agent) sendAnswer(r *run) {
 	for {
 		conn, part, end, done := a.nextSend(r)
--- a/internal/app/dev/control_test.go
+++ b/internal/app/dev/control_test.go
@@ -174,9 +174,9 @@
 }
 
 // A change must not be lost or made twice when operators race and resend. Many operators
-// revise one record, based on the same revision, through all hosts; the leader
-// changes, every host restarts, and all operators resend. Of the changes based on one revision exactly
-// one may be accepted, and the answers must survive the restart.
+// revise one record, based on the same revision, through all hosts; the leader changes, every
+// host restarts, and all operators resend. Of the changes based on one revision exactly one may
+// be accepted, and the answers must survive the restart.
 func TestRacingOperatorsHaveOneWinnerAndResendsGetTheFirstAnswer(t *testing.T) {
 	is := is.New(t)
 	s := start(t, func(c *Config) { c.Controls, c.Relayed = 3, true })
--- a/internal/app/entry/entry.go
+++ b/internal/app/entry/entry.go
@@ -34,7 +34,7 @@
 	WriteTimeout time.Duration // a caller that reads nothing for this long is disconnected
 	RetryShare   float64       // retries allowed per request
 	RetryBurst   float64
-	RateBurst    time.Duration // this long of a customer's rate may be used at once
+	RateBurst    time.Duration // a customer may use at once what its rate allows in this time
 	Unsafe       Unsafe        // never set outside tests
 	Incarnation  ident.Incarnation
 }
--- a/internal/app/lab/allowances/world.go
+++ b/internal/app/lab/allowances/world.go
@@ -48,8 +48,8 @@
 	perSecond       float64
 }
 
-// simulation is the load and state of one run. Customers, limits and callers depend on the seed
-// alone; arrivals share the random source with the method under test.
+// simulation is the load and state of one run. The initial limits and callers depend on the seed
+// alone; later draws share the random source with the method under test.
 type simulation struct {
 	r       *rand.Rand
 	now     time.Time
