--- a/internal/app/agent/runs.go
+++ b/internal/app/agent/runs.go
@@ -296,15 +296,15 @@
 }
 
 // endQueued ends a queued attempt as not run.
-func (a *Agent) endQueued(at ident.Attempt, reason string) {
-	r, ok := a.runs[at]
+func (a *Agent) endQueued(id ident.Attempt, reason string) {
+	r, ok := a.runs[id]
 	if !ok || r.end != nil {
 		return
 	}
 	if r.started {
-		panic("invariant: agent: attempt " + at.String() + " reported as not run after it started")
+		panic("invariant: agent: attempt " + id.String() + " reported as not run after it started")
 	}
-	r.end = &wire.End{Attempt: at, State: wire.RunNotRun, Reason: reason}
+	r.end = &wire.End{Attempt: id, State: wire.RunNotRun, Reason: reason}
 	r.endedAt = time.Now()
 	r.cancel()
 	a.met.ended(wire.RunNotRun)
@@ -429,10 +429,10 @@
 // continues without its entry, because its answer is recorded. reap also removes
 // expired blocks.
 func (a *Agent) reap(now time.Time) {
-	for at, r := range a.runs {
+	for id, r := range a.runs {
 		switch {
 		case r.end != nil && (r.confirmed || now.Sub(r.endedAt) > a.cfg.EndedRetention):
-			delete(a.runs, at)
+			delete(a.runs, id)
 			signal(r.wake)
 		case r.end == nil && r.conn == nil && now.Sub(r.orphanedAt) > a.cfg.OrphanAfter && r.params.Claim == nil:
 			a.cancelRun(r)
@@ -440,9 +440,9 @@
 			a.recordUse(r.replica, now)
 		}
 	}
-	for at, until := range a.blocked {
+	for id, until := range a.blocked {
 		if now.After(until) {
-			delete(a.blocked, at)
+			delete(a.blocked, id)
 		}
 	}
 }
--- a/internal/app/controller/bench_test.go
+++ b/internal/app/controller/bench_test.go
@@ -83,7 +83,7 @@
 // One operation is a tenth of that second.
 func BenchmarkLeader(b *testing.B) {
 	f, dep := benchFleet()
-	c := New(Config{Fleet: f, Decode: func(string) (*deploy.Config, error) { return dep, nil }, Plan: fleet.DefaultConfig(), Host: "h1", Log: zerolog.Nop()})
+	c := New(Config{Fleet: f, Decode: func(string) (*deploy.Config, error) { return dep, nil }, Planner: fleet.DefaultConfig(), Host: "h1", Log: zerolog.Nop()})
 	lead := leading(1)
 	c.host = lead
 	c.pub.setDeployment(lead.LocalDeployment())
--- a/internal/app/controller/confirm_test.go
+++ b/internal/app/controller/confirm_test.go
@@ -25,7 +25,7 @@
 
 // idle returns a controller whose loop does not run.
 func idle(lead Leadership, fl *testFleet) *Controller {
-	c := New(Config{Fleet: fl, Plan: fleet.DefaultConfig(), Host: "h1", Log: zerolog.Nop()})
+	c := New(Config{Fleet: fl, Planner: fleet.DefaultConfig(), Host: "h1", Log: zerolog.Nop()})
 	c.host = lead
 	return c
 }
--- a/internal/app/controller/controller.go
+++ b/internal/app/controller/controller.go
@@ -58,9 +58,9 @@
 
 // Config holds the settings and dependencies of a Controller.
 type Config struct {
-	Fleet  port.Fleet
-	Decode func(text string) (*deploy.Config, error)
-	Plan   fleet.Config
+	Fleet   port.Fleet
+	Decode  func(text string) (*deploy.Config, error)
+	Planner fleet.Config
 	// Host is this host. Lease is the time within which control of the engines must not
 	// alternate between hosts, whether or not engines check fencing tokens; 0 if the
 	// deployment names none. See package holder.
@@ -231,7 +231,7 @@
 	c.term = term
 	c.beginHolding(now)
 	c.beginSuspects(now)
-	c.planner = fleet.New(c.cfg.Plan)
+	c.planner = fleet.New(c.cfg.Planner)
 	c.decodedVersion, c.rev = 0, 0
 	c.listStarted, c.listOK = time.Time{}, false
 	c.entries = map[string]time.Time{}
--- a/internal/app/controller/controller_test.go
+++ b/internal/app/controller/controller_test.go
@@ -134,7 +134,7 @@
 	dep := &deploy.Config{Version: 3, Services: map[string]*deploy.Service{"llm": {Name: "llm", Engine: &deploy.Engine{
 		Slots: 8, ModelMegabytes: 83000, AdapterSlots: 2, Models: map[string]*deploy.Model{"m": {Name: "m", Megabytes: 20000, FromDisk: 50 * time.Millisecond}},
 	}}}}
-	c := New(Config{Fleet: fl, Decode: func(string) (*deploy.Config, error) { return dep, nil }, Plan: fleet.DefaultConfig(), Host: "h1", Lease: lease, Log: zerolog.Nop()})
+	c := New(Config{Fleet: fl, Decode: func(string) (*deploy.Config, error) { return dep, nil }, Planner: fleet.DefaultConfig(), Host: "h1", Lease: lease, Log: zerolog.Nop()})
 	c.Run(lead)
 	t.Cleanup(c.Stop)
 	return c
@@ -343,7 +343,7 @@
 // to many entries.
 func TestChangesAreBatchedForManyEntries(t *testing.T) {
 	is := is.New(t)
-	c := New(Config{Fleet: &testFleet{}, Plan: fleet.DefaultConfig(), Log: zerolog.Nop()})
+	c := New(Config{Fleet: &testFleet{}, Planner: fleet.DefaultConfig(), Log: zerolog.Nop()})
 	now := time.Unix(1e6, 0)
 	c.host = &testHost{}
 	c.beginTerm(now, 3)
@@ -404,7 +404,7 @@
 // queue behind it, and leaders change every 2 s while a large deployment starts.
 func TestLargeNewsIsSpacedOut(t *testing.T) {
 	is := is.New(t)
-	c := New(Config{Fleet: &testFleet{}, Plan: fleet.DefaultConfig(), Log: zerolog.Nop(), SendRate: 100_000})
+	c := New(Config{Fleet: &testFleet{}, Planner: fleet.DefaultConfig(), Log: zerolog.Nop(), SendRate: 100_000})
 	large := wire.PullResult{Packed: make([]byte, 10_000)}
 	begin := time.Now()
 	var sent atomic.Int64
@@ -441,7 +441,7 @@
 // plan, and no order is sent for 1.2 s though a request waits and the host leads.
 func TestPauseAfterASlowPlanIsBounded(t *testing.T) {
 	is := is.New(t)
-	c := New(Config{Fleet: &testFleet{}, Plan: fleet.DefaultConfig(), Log: zerolog.Nop()})
+	c := New(Config{Fleet: &testFleet{}, Planner: fleet.DefaultConfig(), Log: zerolog.Nop()})
 	is.Equal(c.pause(), minPlanPause)
 	c.stepTime = 8 * time.Millisecond
 	is.Equal(c.pause(), 72*time.Millisecond) // plans take a tenth of the time
--- a/internal/app/controller/publish.go
+++ b/internal/app/controller/publish.go
@@ -21,16 +21,16 @@
 // to all.
 func (c *Controller) publish(now time.Time) {
 	c.dropSilentEntries(now)
-	c.pub.setRunning(c.planner.Loads(), len(c.entries))
+	c.pub.setRunning(c.planner.RunningByEndpoint(), len(c.entries))
 	c.publishETAs(now)
 	if now.Sub(c.suspects.publishedAt) >= publishPerEntry*time.Duration(len(c.entries)) {
 		c.publishSuspects(now)
 	}
-	c.unpublished = c.planner.Changed() || c.unpublished
+	c.unpublished = c.planner.TakeChanged() || c.unpublished
 	switch {
 	case !c.unpublished || !c.listOK:
 	case now.Sub(c.publishedAll) >= publishPerEntry*time.Duration(len(c.entries)):
-		c.planner.AwaitingEntries() // resets it; the waiting entries are among all
+		c.planner.TakeAwaitingEntries() // resets it; the waiting entries are among all
 		c.unpublished, c.publishedAll, c.publishedAny = false, now, now
 		c.rev++
 		c.pub.publishAll(c.rev, c.planner.Endpoints())
@@ -41,7 +41,7 @@
 
 // publishAwaited publishes the present state to the entries that wait for something in it.
 func (c *Controller) publishAwaited(now time.Time) {
-	entries := c.planner.AwaitingEntries()
+	entries := c.planner.TakeAwaitingEntries()
 	if len(entries) == 0 {
 		return
 	}
--- a/internal/app/controller/publisher.go
+++ b/internal/app/controller/publisher.go
@@ -319,20 +319,20 @@
 	return pub.runningRaw
 }
 
-// wakeups are the events after which a waiting call must check again what is missing.
-type wakeups struct {
+// wakeEvents are the events after which a waiting call must check again what is missing.
+type wakeEvents struct {
 	all <-chan struct{} // closed at a publication to all entries
 	own <-chan struct{} // closed at a publication to this entry because it waits
 }
 
 // answer returns what an entry is missing, whether that is anything, and the events to wait
 // for otherwise.
-func (pub *publisher) answer(p wire.PullParams) (wire.PullResult, bool, wakeups) {
+func (pub *publisher) answer(p wire.PullParams) (wire.PullResult, bool, wakeEvents) {
 	pub.mu.Lock()
 	defer pub.mu.Unlock()
 	r := wire.PullResult{Leading: pub.leading, Term: pub.term, Rev: pub.rev, Running: pub.encodedRunning(), Entries: pub.entries, ListUsual: pub.typicalAge}
 	if !pub.leading {
-		return r, true, wakeups{}
+		return r, true, wakeEvents{}
 	}
 	if !pub.listRead.IsZero() {
 		r.ListAge = time.Since(pub.listRead)
@@ -353,5 +353,5 @@
 		}
 		r.Deployment, missing = pub.depCompressed, true
 	}
-	return r, missing, wakeups{all: pub.changed, own: pub.wakeup(p.Host)}
+	return r, missing, wakeEvents{all: pub.changed, own: pub.wakeup(p.Host)}
 }
--- a/internal/app/ctl/losses.go
+++ b/internal/app/ctl/losses.go
@@ -32,7 +32,7 @@
 // losses are all causes, the most frequent first.
 type losses struct {
 	Requests int    `json:"requests"` // whose end is logged
-	Held     int    `json:"held"`     // number of these that are counted in Causes
+	Delayed  int    `json:"held"`     // number of these that are counted in Causes
 	Causes   []loss `json:"causes"`
 }
 
@@ -50,7 +50,7 @@
 }
 
 func (x *lossesCmd) table(all losses) {
-	fmt.Fprintf(x.cli.out, "%d requests ended, %d of them not answered at once\n", all.Requests, all.Held)
+	fmt.Fprintf(x.cli.out, "%d requests ended, %d of them not answered at once\n", all.Requests, all.Delayed)
 	w := tabwriter.NewWriter(x.cli.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "requests\tanswered\tmean wait s\tworst second\tcause\troutes")
 	for _, l := range all.Causes {
@@ -80,7 +80,7 @@
 		}
 		out.Requests++
 		if cause != "" {
-			out.Held++
+			out.Delayed++
 			countLoss(byCause, cause, l, int64(l.at.Sub(lines[0].at)/time.Second))
 		}
 	}
--- a/internal/app/ctl/losses_test.go
+++ b/internal/app/ctl/losses_test.go
@@ -34,7 +34,7 @@
 	var all losses
 	is.NoErr(json.Unmarshal([]byte(out), &all))
 	is.Equal(all.Requests, 6)
-	is.Equal(all.Held, 5)
+	is.Equal(all.Delayed, 5)
 	first := all.Causes[0]
 	is.Equal(first, loss{Cause: "no endpoint held its model or adapter", Requests: 2, Answered: 1, Waited: 0.75, Routes: map[string]int{"b": 2}, Seconds: map[int64]int{2: 1, 4: 1}})
 	is.Equal(len(all.Causes), 4)
--- a/internal/app/dev/control_test.go
+++ b/internal/app/dev/control_test.go
@@ -121,7 +121,7 @@
 	old := s.Leader()
 	base := s.revision(t, "outage-reports")
 	old.Relay.SetDropAll(true)
-	s.cutOutgoing(old, true)
+	s.silenceOthers(old, true)
 	eventually(t, "another leads", func() bool {
 		for _, c := range s.Controls {
 			if c != old && c.Status().Role == consensus.Leader {
@@ -153,7 +153,7 @@
 	})
 	is.Equal(res.Code, state.OK)
 	old.Relay.SetDropAll(false)
-	s.cutOutgoing(old, false)
+	s.silenceOthers(old, false)
 	eventually(t, "the old leader holds the majority's change", func() bool {
 		r, _ := old.LocalRecord("outage-reports")
 		return r.Revision == res.Revision
@@ -161,8 +161,8 @@
 	eventually(t, "it is in force everywhere", func() bool { return s.inForceEverywhere(res.Revision) })
 }
 
-// cutOutgoing silences the open connections to all control hosts but c, those from c included.
-func (s *System) cutOutgoing(c *ControlProc, on bool) {
+// silenceOthers silences the open connections to all control hosts but c, those from c included.
+func (s *System) silenceOthers(c *ControlProc, on bool) {
 	for _, o := range s.Controls {
 		if o != c {
 			o.Relay.SilenceConns()
--- a/internal/app/dev/random_test.go
+++ b/internal/app/dev/random_test.go
@@ -133,7 +133,7 @@
 	case 1:
 		body := fmt.Sprintf(`{"n":%d}`, i)
 		r := send(s.api(i%2), KeyOffice, "/services/receipts/renewals", body)
-		checkFiled(t, plain, body, r.outcome)
+		checkPosted(t, plain, body, r.outcome)
 		return r.outcome
 	}
 	body := fmt.Sprintf(`{"key":%d}`, i)
@@ -145,12 +145,12 @@
 		}
 	}
 	if r.outcome == "answered" {
-		checkFiled(t, plain, body, r.outcome)
+		checkPosted(t, plain, body, r.outcome)
 	}
 	return r.outcome
 }
 
-func checkFiled(t *testing.T, plain *fake.Plain, body, outcome string) {
+func checkPosted(t *testing.T, plain *fake.Plain, body, outcome string) {
 	times := plain.Posted()[body]
 	switch {
 	case outcome == "answered" && times != 1:
--- a/internal/app/entry/attempt.go
+++ b/internal/app/entry/attempt.go
@@ -46,8 +46,8 @@
 	acked    int64
 }
 
-// attempt sends the job to one endpoint and passes its answer on until it ends.
-func (e *Entry) attempt(ctx context.Context, j *job, c routing.Candidate, ep state.Endpoint) attemptResult {
+// runAttempt sends the job to one endpoint and passes its answer on until it ends.
+func (e *Entry) runAttempt(ctx context.Context, j *job, c routing.Candidate, ep state.Endpoint) attemptResult {
 	j.attempts++
 	a := &attempt{entry: e, job: j, ep: ep, id: ident.Attempt{Request: j.id, Number: j.attempts}}
 	a.inbound = e.pool.inbounds().open(a.id)
--- a/internal/app/entry/job.go
+++ b/internal/app/entry/job.go
@@ -85,7 +85,7 @@
 			}
 			continue
 		}
-		r := e.attempt(ctx, j, c, ep)
+		r := e.runAttempt(ctx, j, c, ep)
 		j.trace = append(j.trace, AttemptSummary{Host: c.Host, State: r.state, Reason: r.reason})
 		j.mayHaveRun = j.mayHaveRun || r.state == wire.RunUnknown
 		e.recordResult(j, r)
--- a/internal/app/entry/poison.go
+++ b/internal/app/entry/poison.go
@@ -27,15 +27,15 @@
 // are committed to the log. The log counts them over all entries (package poison) and
 // publishes which requests are quarantined.
 type suspects struct {
-	mu       sync.Mutex
-	answered *poison.Recent
-	book     *poison.Book // ends that this entry reported
-	pending  poison.Change
-	wake     chan struct{}
+	mu            sync.Mutex
+	recentAnswers *poison.Recent
+	book          *poison.Book // ends that this entry reported
+	pending       poison.Change
+	wake          chan struct{}
 }
 
 func newSuspects() *suspects {
-	return &suspects{answered: poison.NewRecent(time.Now()), book: poison.NewBook(), wake: make(chan struct{}, 1)}
+	return &suspects{recentAnswers: poison.NewRecent(time.Now()), book: poison.NewBook(), wake: make(chan struct{}, 1)}
 }
 
 // recordEnd records that an engine ended while it ran a request. It ignores a request if an
@@ -43,8 +43,8 @@
 func (s *suspects) recordEnd(now time.Time, f poison.Fingerprint, incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := poison.End{Request: f, Incarnation: incarnation, Cold: s.answered.Cold(now)}
-	if s.answered.Has(now, f) {
+	e := poison.End{Request: f, Incarnation: incarnation, Cold: s.recentAnswers.Cold(now)}
+	if s.recentAnswers.Has(now, f) {
 		return
 	}
 	if added, _ := s.book.Ended(now, e); !added {
@@ -60,7 +60,7 @@
 func (s *suspects) recordAnswer(now time.Time, f poison.Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.answered.Answered(now, f)
+	s.recentAnswers.Answered(now, f)
 	if s.book.Clear(f) {
 		s.pending.Answered = append(s.pending.Answered, f)
 		s.signal()
@@ -73,7 +73,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range reg.Cases {
-		if s.answered.Has(now, c.Request) {
+		if s.recentAnswers.Has(now, c.Request) {
 			s.pending.Answered = append(s.pending.Answered, c.Request)
 			s.signal()
 		}
--- a/internal/app/entry/waitlists.go
+++ b/internal/app/entry/waitlists.go
@@ -51,62 +51,62 @@
 	return &waitlists{entry: e, byTarget: map[ident.Target]*waitlist{}, added: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
-func (rs *waitlists) stop() { rs.stopOnce.Do(func() { close(rs.done) }) }
+func (ws *waitlists) stop() { ws.stopOnce.Do(func() { close(ws.done) }) }
 
 // add adds a waiter for target t. The first waiter of a target triggers a demand
 // message at once.
-func (rs *waitlists) add(t ident.Target, w *waiter) {
-	rs.mu.Lock()
-	defer rs.mu.Unlock()
-	r := rs.byTarget[t]
-	if r == nil {
-		r = &waitlist{waiters: map[*waiter]struct{}{}}
-		rs.byTarget[t] = r
+func (ws *waitlists) add(t ident.Target, w *waiter) {
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
+	wl := ws.byTarget[t]
+	if wl == nil {
+		wl = &waitlist{waiters: map[*waiter]struct{}{}}
+		ws.byTarget[t] = wl
 		select {
-		case rs.added <- struct{}{}:
+		case ws.added <- struct{}{}:
 		default:
 		}
 	}
-	r.waiters[w] = struct{}{}
+	wl.waiters[w] = struct{}{}
 }
 
-func (rs *waitlists) remove(t ident.Target, w *waiter) {
-	rs.mu.Lock()
-	defer rs.mu.Unlock()
-	r := rs.byTarget[t]
-	delete(r.waiters, w)
-	if len(r.waiters) == 0 {
-		delete(rs.byTarget, t)
+func (ws *waitlists) remove(t ident.Target, w *waiter) {
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
+	wl := ws.byTarget[t]
+	delete(wl.waiters, w)
+	if len(wl.waiters) == 0 {
+		delete(ws.byTarget, t)
 	}
 }
 
 // estimate returns the time from now until control expects a replica of t to be
 // ready, the reason that control gives, and whether an estimate was received. in
 // is 0 if control could not estimate the time.
-func (rs *waitlists) estimate(t ident.Target, now time.Time) (in time.Duration, reason string, known bool) {
-	rs.mu.Lock()
-	defer rs.mu.Unlock()
-	r := rs.byTarget[t]
-	if r == nil || !r.hasEstimate {
+func (ws *waitlists) estimate(t ident.Target, now time.Time) (in time.Duration, reason string, known bool) {
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
+	wl := ws.byTarget[t]
+	if wl == nil || !wl.hasEstimate {
 		return 0, "", false
 	}
-	if !r.estimated.Known {
-		return 0, r.estimated.Reason, true
+	if !wl.estimated.Known {
+		return 0, wl.estimated.Reason, true
 	}
-	return max(0, r.estimated.In-now.Sub(r.estimatedAt)), r.estimated.Reason, true
+	return max(0, wl.estimated.In-now.Sub(wl.estimatedAt)), wl.estimated.Reason, true
 }
 
 // wake makes every waiter look for candidates again.
-func (rs *waitlists) wake() {
-	rs.mu.Lock()
-	defer rs.mu.Unlock()
-	for _, r := range rs.byTarget {
-		r.wake()
+func (ws *waitlists) wake() {
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
+	for _, wl := range ws.byTarget {
+		wl.wake()
 	}
 }
 
-func (r *waitlist) wake() {
-	for w := range r.waiters {
+func (wl *waitlist) wake() {
+	for w := range wl.waiters {
 		select {
 		case w.wake <- struct{}{}:
 		default:
@@ -115,33 +115,33 @@
 }
 
 // run sends the demands of all waitlists to control, one message per interval.
-func (rs *waitlists) run() {
+func (ws *waitlists) run() {
 	t := time.NewTicker(demandInterval)
 	defer t.Stop()
 	for {
 		select {
-		case <-rs.done:
+		case <-ws.done:
 			return
 		case <-t.C:
-		case <-rs.added:
+		case <-ws.added:
 		}
-		if p := rs.collectDemands(time.Now()); len(p.Demands) > 0 {
-			rs.send(p)
+		if p := ws.collectDemands(time.Now()); len(p.Demands) > 0 {
+			ws.send(p)
 		}
 	}
 }
 
 // collectDemands summarises the waiting requests by target and customer.
-func (rs *waitlists) collectDemands(now time.Time) wire.DemandParams {
-	rs.mu.Lock()
-	defer rs.mu.Unlock()
+func (ws *waitlists) collectDemands(now time.Time) wire.DemandParams {
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
 	var p wire.DemandParams
-	for t, r := range rs.byTarget {
+	for t, wl := range ws.byTarget {
 		byCustomer := map[ident.Customer]*wire.DemandIn{}
-		for w := range r.waiters {
+		for w := range wl.waiters {
 			d := byCustomer[w.customer]
 			if d == nil {
-				d = &wire.DemandIn{Within: w.deadline.Sub(now), Demand: placement.Demand{Entry: rs.entry.cfg.Host, Service: w.service, Customer: w.customer, Target: t, Batch: true}}
+				d = &wire.DemandIn{Within: w.deadline.Sub(now), Demand: placement.Demand{Entry: ws.entry.cfg.Host, Service: w.service, Customer: w.customer, Target: t, Batch: true}}
 				byCustomer[w.customer] = d
 			}
 			d.Demand.Waiting++
@@ -155,21 +155,21 @@
 	return p
 }
 
-func (rs *waitlists) send(p wire.DemandParams) {
+func (ws *waitlists) send(p wire.DemandParams) {
 	ctx, cancel := context.WithTimeout(context.Background(), demandTimeout)
 	defer cancel()
 	var res wire.DemandResult
-	rs.entry.met.demands.Inc()
-	if err := rs.entry.follower.Call(ctx, wire.MethodDemand, p, &res); err != nil {
+	ws.entry.met.demands.Inc()
+	if err := ws.entry.follower.Call(ctx, wire.MethodDemand, p, &res); err != nil {
 		return // sent again at the next interval
 	}
 	now := time.Now()
-	rs.mu.Lock()
-	defer rs.mu.Unlock()
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
 	for _, est := range res.Estimates {
-		if r, ok := rs.byTarget[est.Target]; ok {
-			r.estimated, r.estimatedAt, r.hasEstimate = est, now, true
-			r.wake()
+		if wl, ok := ws.byTarget[est.Target]; ok {
+			wl.estimated, wl.estimatedAt, wl.hasEstimate = est, now, true
+			wl.wake()
 		}
 	}
 }
--- a/internal/app/gateway/directory.go
+++ b/internal/app/gateway/directory.go
@@ -186,8 +186,8 @@
 	return max(at.Sub(now), 0)
 }
 
-// refresh records the age of the platform's list and what other entries run.
-func (d *directory) refresh(asOf time.Time, running map[fleet.EndpointID]int) {
+// setRunning records the age of the platform's list and what other entries run.
+func (d *directory) setRunning(asOf time.Time, running map[fleet.EndpointID]int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if asOf.After(d.asOf) {
--- a/internal/app/gateway/eta_test.go
+++ b/internal/app/gateway/eta_test.go
@@ -14,7 +14,7 @@
 func withETAs(t *testing.T, etas ...fleet.ETA) *Gateway {
 	t.Helper()
 	g := startGateway(t, newFakeEndpoint(t, answerOK))
-	g.dir.refresh(time.Now(), nil)
+	g.dir.setRunning(time.Now(), nil)
 	g.dir.setETAs(time.Now(), true, true, etas)
 	return g
 }
@@ -43,7 +43,7 @@
 	is := is.New(t)
 	b := newFakeEndpoint(t, answerOK)
 	g := startGateway(t, b)
-	g.dir.refresh(time.Now(), nil)
+	g.dir.setRunning(time.Now(), nil)
 	g.dir.setETAs(time.Now(), true, true, []fleet.ETA{{Model: "rare", In: 300 * time.Millisecond}})
 	time.AfterFunc(300*time.Millisecond, func() {
 		eps := listed(b)
--- a/internal/app/gateway/poison.go
+++ b/internal/app/gateway/poison.go
@@ -69,14 +69,14 @@
 	case ended:
 		x.g.suspects.recordEnd(time.Now(), f, id)
 	default:
-		x.g.suspects.recordBreak(time.Now(), f, id)
+		x.g.suspects.recordUnresolved(time.Now(), f, id)
 	}
 }
 
 // recordSilence records that an endpoint has been silent beyond its limit.
 func (x *exchange) recordSilence(e *endpoint) {
 	if f, named := x.fingerprint(); named && !x.g.dir.isLeaving(e) {
-		x.g.suspects.recordBreak(time.Now(), f, e.ID)
+		x.g.suspects.recordUnresolved(time.Now(), f, e.ID)
 	}
 }
 
--- a/internal/app/gateway/suspects.go
+++ b/internal/app/gateway/suspects.go
@@ -98,9 +98,9 @@
 	s.signalReport()
 }
 
-// recordBreak records a run that broke off or stayed silent, at an endpoint that may have
+// recordUnresolved records a run that broke off or stayed silent, at an endpoint that may have
 // ended.
-func (s *suspects) recordBreak(now time.Time, f poison.Fingerprint, id fleet.EndpointID) {
+func (s *suspects) recordUnresolved(now time.Time, f poison.Fingerprint, id fleet.EndpointID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.unresolved[id]) < maxUnresolved {
--- a/internal/app/gateway/suspects_test.go
+++ b/internal/app/gateway/suspects_test.go
@@ -83,13 +83,13 @@
 	is := is.New(t)
 	s, f := newSuspects(), fingerprintOf("POST", "/once/x", "body")
 	now := time.Now()
-	s.recordBreak(now, f, "e0")
+	s.recordUnresolved(now, f, "e0")
 	is.Equal(s.standing(now, f).Ends, 0)
 	s.endpointRemoved(now.Add(2*time.Second), "e0", false)
 	is.Equal(s.standing(now, f).Ends, 1)
-	s.recordBreak(now, f, "e1")
+	s.recordUnresolved(now, f, "e1")
 	s.endpointRemoved(now.Add(unresolvedTTL+time.Second), "e1", false)
-	s.recordBreak(now, f, "e2")
+	s.recordUnresolved(now, f, "e2")
 	s.endpointRemoved(now, "e2", true) // it left as planned
 	is.Equal(s.standing(now, f).Ends, 1)
 }
--- a/internal/app/gateway/syncer.go
+++ b/internal/app/gateway/syncer.go
@@ -175,7 +175,7 @@
 	}
 	s.contact.record(time.Now())
 	if r.ListAge >= 0 {
-		s.g.dir.refresh(time.Now().Add(-r.ListAge), n.running)
+		s.g.dir.setRunning(time.Now().Add(-r.ListAge), n.running)
 	}
 }
 
--- a/internal/app/lab/run.go
+++ b/internal/app/lab/run.go
@@ -286,7 +286,7 @@
 		}
 		x.after(queryDelay, func() { x.planner.QueryFailed(x.clock(), q.Endpoint) })
 	}
-	if x.planner.Changed() {
+	if x.planner.TakeChanged() {
 		eps := x.planner.Endpoints()
 		x.after(reportDelay, func() { x.known = eps })
 	}
--- a/internal/app/replay/host.go
+++ b/internal/app/replay/host.go
@@ -86,10 +86,10 @@
 	return w.Name
 }
 
-// die ends the incarnation: running requests are lost, and the engine is empty.
+// crash ends the incarnation: running requests are lost, and the engine is empty.
 // The endpoint is marked down when its lease ends, and removed later unless it
 // has started again.
-func (h *host) die() {
+func (h *host) crash() {
 	if !h.up {
 		return
 	}
--- a/internal/app/replay/run.go
+++ b/internal/app/replay/run.go
@@ -197,13 +197,13 @@
 		r.dispatch(q)
 	case KindDeath:
 		h := r.hosts[l.Endpoint]
-		h.die()
+		h.crash()
 		r.after(seconds(l.Seconds), h.start)
 	case KindReclaim:
 		h := r.hosts[l.Endpoint]
 		h.leaving = true
 		r.commit(h.registration("listed as leaving"), true)
-		r.after(seconds(l.Seconds), h.die)
+		r.after(seconds(l.Seconds), h.crash)
 	case KindStoreSlow:
 		r.store.setSlowdown(l.Factor)
 		r.after(seconds(l.Seconds), func() { r.store.setSlowdown(1) })
--- a/internal/core/contact/book.go
+++ b/internal/core/contact/book.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	// lostInterval is the minimum time between two greetings of a Disconnected host to the same
-	// address; leaderInterval and followerInterval are those of members. A restarted host
+	// disconnectedInterval is the minimum time between two greetings of a Disconnected host
+	// to the same address; leaderInterval and followerInterval are those of members. A restarted host
 	// without a disk rejoins after an election of 0.8 s, one greeting of the leader and
 	// one request to join: within 3 s, of the 12 s within which callers must be served
 	// again.
-	lostInterval     = 500 * time.Millisecond
-	leaderInterval   = time.Second
-	followerInterval = 2 * time.Second
+	disconnectedInterval = 500 * time.Millisecond
+	leaderInterval       = time.Second
+	followerInterval     = 2 * time.Second
 	// maxInterval is the maximum time between two greetings to an address. The interval
 	// grows to half the time since the host there was last seen.
 	maxInterval = 5 * time.Second
@@ -234,7 +234,7 @@
 // interval returns the time between two greetings to an address. Seeds and members are
 // always greeted at the minimum interval, because new hosts appear at their addresses.
 func (b *Book) interval(now time.Time, s Standing, addr string, e *entry) time.Duration {
-	minInterval := map[Standing]time.Duration{Disconnected: lostInterval, Following: followerInterval, Leading: leaderInterval}[s]
+	minInterval := map[Standing]time.Duration{Disconnected: disconnectedInterval, Following: followerInterval, Leading: leaderInterval}[s]
 	if slices.Contains(b.seeds, addr) || slices.ContainsFunc(b.members.Members, func(m consensus.Member) bool { return m.Addr == addr }) {
 		return minInterval
 	}
--- a/internal/core/deploy/deploy.go
+++ b/internal/core/deploy/deploy.go
@@ -99,17 +99,17 @@
 
 // Check returns an error that says why a configuration is invalid, or nil.
 func (c *Config) Check() error {
-	names := make(map[[2]string]string, len(c.Routes))
+	byHostPrefix := make(map[[2]string]string, len(c.Routes))
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		if err := c.checkRoute(r); err != nil {
 			return err
 		}
 		key := [2]string{r.Host, r.Prefix}
-		if other, taken := names[key]; taken {
+		if other, taken := byHostPrefix[key]; taken {
 			return fmt.Errorf("routes %q and %q share host %q and prefix %q", other, r.Name, r.Host, r.Prefix)
 		}
-		names[key] = r.Name
+		byHostPrefix[key] = r.Name
 	}
 	return nil
 }
--- a/internal/core/fleet/incarnation.go
+++ b/internal/core/fleet/incarnation.go
@@ -7,11 +7,11 @@
 
 // IncarnationID returns the ID of one incarnation of an endpoint's process: the name under which
 // the platform lists it and, if known, when it started, in Unix milliseconds.
-func IncarnationID(server string, born int64) EndpointID {
-	if born == 0 {
-		return EndpointID(server)
+func IncarnationID(name string, startedAt int64) EndpointID {
+	if startedAt == 0 {
+		return EndpointID(name)
 	}
-	return EndpointID(server + "@" + strconv.FormatInt(born, 10))
+	return EndpointID(name + "@" + strconv.FormatInt(startedAt, 10))
 }
 
 // Name returns the name under which the platform lists the endpoint; it may stay the same
--- a/internal/core/fleet/planner.go
+++ b/internal/core/fleet/planner.go
@@ -96,8 +96,8 @@
 	changed          bool // what was published to entries is out of date
 	residence        residence
 	copyLostAt       map[string]time.Time // model to when an engine with a copy was last lost
-	newETAs          map[string]bool      // models with a new ETA since the last call of AwaitingEntries
-	newlyHeld        map[Want]bool        // what engines have come to hold since the last call of AwaitingEntries
+	newETAs          map[string]bool      // models with a new ETA since the last call of TakeAwaitingEntries
+	newlyHeld        map[Want]bool        // what engines have come to hold since the last call of TakeAwaitingEntries
 	lastSpared       time.Time            // when a model in use was last evicted
 	loadFaults       *poison.Book         // ends of engines under loads of models and adapters
 	newlyQuarantined []Want               // newly in quarantine since the last plan
@@ -125,17 +125,17 @@
 // SetDeployment sets the deployment in force.
 func (p *Planner) SetDeployment(d *deploy.Config) { p.dep = d }
 
-// Changed reports whether the published state of the engines has changed since the last
+// TakeChanged reports whether the published state of the engines has changed since the last
 // call.
-func (p *Planner) Changed() bool {
+func (p *Planner) TakeChanged() bool {
 	c := p.changed
 	p.changed = false
 	return c
 }
 
-// AwaitingEntries returns the entries at which requests wait for what engines have come to hold, or
-// for models with a new ETA, since the last call.
-func (p *Planner) AwaitingEntries() []string {
+// TakeAwaitingEntries returns the entries at which requests wait for what engines have come to
+// hold, or for models with a new ETA, since the last call.
+func (p *Planner) TakeAwaitingEntries() []string {
 	if len(p.newlyHeld)+len(p.newETAs) == 0 {
 		return nil
 	}
@@ -315,8 +315,8 @@
 	}
 }
 
-// Loads returns the number of requests in progress per endpoint, over all entries.
-func (p *Planner) Loads() map[EndpointID]int {
+// RunningByEndpoint returns the number of requests in progress per endpoint, over all entries.
+func (p *Planner) RunningByEndpoint() map[EndpointID]int {
 	p.sumReports()
 	out := map[EndpointID]int{}
 	for id, e := range p.engines {
--- a/internal/core/fleet/survey.go
+++ b/internal/core/fleet/survey.go
@@ -65,13 +65,13 @@
 
 // capacity returns the capacity of an engine that has no pending order.
 func (p *Planner) capacity(now time.Time, e *engine, eng *deploy.Engine) *capacity {
-	r, known := p.survey.capacities[e]
+	c, known := p.survey.capacities[e]
 	if known {
-		return r
+		return c
 	}
-	r = &capacity{free: p.free(e, eng), victims: p.victims(now, e, eng)}
-	p.survey.capacities[e] = r
-	return r
+	c = &capacity{free: p.free(e, eng), victims: p.victims(now, e, eng)}
+	p.survey.capacities[e] = c
+	return c
 }
 
 // free returns the megabytes that an engine has free for models.
@@ -81,15 +81,15 @@
 
 // limitsOf returns what follows from an engine's description.
 func (s *survey) limitsOf(eng *deploy.Engine) specLimits {
-	f, known := s.specLimits[eng]
+	l, known := s.specLimits[eng]
 	if !known {
-		f.reserve = adapterReserve(eng)
+		l.reserve = adapterReserve(eng)
 		for _, m := range eng.Models {
-			f.largest = max(f.largest, m.Megabytes)
+			l.largest = max(l.largest, m.Megabytes)
 		}
-		s.specLimits[eng] = f
+		s.specLimits[eng] = l
 	}
-	return f
+	return l
 }
 
 // victim is a model that could be evicted, with the cost of losing it: for victims an
--- a/internal/core/ledger/ledger.go
+++ b/internal/core/ledger/ledger.go
@@ -196,10 +196,10 @@
 // RequestList makes Orders request the engine's list again.
 func (l *Ledger) RequestList() { l.needsList = true }
 
-// Sync applies the engine's list of replicas, requested at the time asked. Replicas
+// Sync applies the engine's list of replicas, requested at requestedAt. Replicas
 // without a grant count at once and are unloaded; entries in an uncertain state
 // are settled.
-func (l *Ledger) Sync(now, asked time.Time, held []Held) []Event {
+func (l *Ledger) Sync(now, requestedAt time.Time, held []Held) []Event {
 	l.synced, l.needsList = true, false
 	byTarget := map[ident.Target]Held{}
 	for _, h := range held {
@@ -214,7 +214,7 @@
 		// requested, except to a grant without an order: what the engine
 		// holds of it must count from now on, or a load could be assigned
 		// memory that is in use.
-		if e.phase != Waiting && !e.since.Before(asked) {
+		if e.phase != Waiting && !e.since.Before(requestedAt) {
 			continue
 		}
 		events = append(events, l.reconcile(now, e, h, present)...)
--- a/internal/core/placement/demand.go
+++ b/internal/core/placement/demand.go
@@ -64,8 +64,8 @@
 func (p *Planner) prewarm(now time.Time, st *state.State, t ident.Target) {
 	stats := st.History().Stats(t)
 	for _, c := range stats.Companions(p.cfg.PrewarmShare, minWakes) {
-		stmt, ok := st.RequirementsOf(c)
-		if !ok || st.Count(c) > 0 || stmt.Weight < prewarmWeight {
+		req, ok := st.RequirementsOf(c)
+		if !ok || st.Count(c) > 0 || req.Weight < prewarmWeight {
 			continue
 		}
 		td := p.demandFor(now, c)
@@ -78,8 +78,8 @@
 const prewarmWeight = 0.5
 
 func (td *targetDemand) prune(now time.Time, cfg Config) {
-	for k, a := range td.byRequester {
-		if now.Sub(a.received) > cfg.DemandTTL {
+	for k, latest := range td.byRequester {
+		if now.Sub(latest.received) > cfg.DemandTTL {
 			delete(td.byRequester, k)
 		}
 	}
@@ -91,8 +91,8 @@
 
 func (td *targetDemand) waiting() int {
 	n := 0
-	for _, a := range td.byRequester {
-		n += a.demand.Waiting
+	for _, latest := range td.byRequester {
+		n += latest.demand.Waiting
 	}
 	return n
 }
@@ -112,7 +112,7 @@
 // item is a target that needs one more replica.
 type item struct {
 	target ident.Target
-	stmt   state.Requirements
+	req    state.Requirements
 	class  urgency
 	key    time.Time // order within the class
 	// assumeEvictable makes replicas that are loading or in use count as evictable.
@@ -125,11 +125,11 @@
 	var items []item
 	lowest := p.minServed()
 	for t, td := range p.demands {
-		stmt, ok := st.RequirementsOf(t)
+		req, ok := st.RequirementsOf(t)
 		if !ok || !p.needsReplica(st, t, td) {
 			continue
 		}
-		items = append(items, p.rank(now, t, stmt, td, lowest))
+		items = append(items, p.rank(now, t, req, td, lowest))
 	}
 	slices.SortFunc(items, func(a, b item) int {
 		return cmp.Or(cmp.Compare(a.class, b.class), a.key.Compare(b.key), cmp.Compare(a.target.String(), b.target.String()))
@@ -147,8 +147,8 @@
 	}
 	waiting := td.waiting()
 	if waiting == 0 {
-		stmt, _ := st.RequirementsOf(t)
-		return n < max(1, stmt.Min)
+		req, _ := st.RequirementsOf(t)
+		return n < max(1, req.Min)
 	}
 	return n*defaultSlots < waiting
 }
@@ -156,15 +156,15 @@
 const defaultSlots = 8 // concurrent requests assumed per replica
 
 // rank returns the queue item of t, with its class and its order within it.
-func (p *Planner) rank(now time.Time, t ident.Target, stmt state.Requirements, td *targetDemand, lowest float64) item {
-	it := item{target: t, stmt: stmt, class: warm, key: td.since}
+func (p *Planner) rank(now time.Time, t ident.Target, req state.Requirements, td *targetDemand, lowest float64) item {
+	it := item{target: t, req: req, class: warm, key: td.since}
 	if p.cfg.Policy != PolicyHistory {
 		it.class = urgent
 		return it
 	}
-	minLoad := p.loadTime(FromMemory, stmt.Bytes)
-	for _, a := range td.byRequester {
-		d := a.demand
+	minLoad := p.loadTime(FromMemory, req.Bytes)
+	for _, latest := range td.byRequester {
+		d := latest.demand
 		class := urgent
 		if now.Add(minLoad).After(d.Deadline) {
 			class = late
@@ -190,8 +190,8 @@
 func (p *Planner) minServed() float64 {
 	lowest, found := 0.0, false
 	for _, td := range p.demands {
-		for _, a := range td.byRequester {
-			v := p.served[a.demand.Customer]
+		for _, latest := range td.byRequester {
+			v := p.served[latest.demand.Customer]
 			if !found || v < lowest {
 				lowest, found = v, true
 			}
--- a/internal/core/placement/loads.go
+++ b/internal/core/placement/loads.go
@@ -71,8 +71,8 @@
 // bytes returns the accelerator memory of one replica of t, 0 if no record states
 // it.
 func (p *Planner) bytes(st *state.State, t ident.Target) int64 {
-	stmt, _ := st.RequirementsOf(t)
-	return stmt.Bytes
+	req, _ := st.RequirementsOf(t)
+	return req.Bytes
 }
 
 // planOne returns the commands for one queued target, or none if it must wait, and
--- a/internal/core/placement/place.go
+++ b/internal/core/placement/place.go
@@ -66,9 +66,9 @@
 // endpoint.
 func (p *Planner) reservedMemory(t ident.Target) map[ident.HostID]int64 {
 	reserved := map[ident.HostID]int64{}
-	for other, in := range p.reservations {
+	for other, res := range p.reservations {
 		if other != t {
-			reserved[in.host] += in.bytes
+			reserved[res.host] += res.bytes
 		}
 	}
 	return reserved
@@ -77,13 +77,13 @@
 // candidate returns the placement of a target on endpoint e and its cost, and
 // false if e can't hold it. Victims are chosen only if evict is set.
 func (p *Planner) candidate(now time.Time, st *state.State, it item, e state.Endpoint, zones map[ident.Zone]bool, reserved map[ident.HostID]int64, evict bool) (candidate, bool) {
-	if !e.Up || e.Leaving || e.Serves != "" || !slices.Contains(it.stmt.Places, e.Place) {
+	if !e.Up || e.Leaving || e.Serves != "" || !slices.Contains(it.req.Places, e.Place) {
 		return candidate{}, false
 	}
 	if _, present := st.At(it.target, e.Host); present {
 		return candidate{}, false
 	}
-	c := candidate{host: e.Host, needs: it.stmt.Bytes, load: p.loadTime(p.source(it.target, e.Host), it.stmt.Bytes)}
+	c := candidate{host: e.Host, needs: it.req.Bytes, load: p.loadTime(p.source(it.target, e.Host), it.req.Bytes)}
 	if it.target.IsAdapter() && !p.addMissingBase(st, it.target, e.Host, &c) {
 		return candidate{}, false
 	}
@@ -202,8 +202,8 @@
 	if p.idle(now, r.Target) < evictIdle {
 		return false
 	}
-	stmt, ok := st.RequirementsOf(r.Target)
-	return !ok || st.Count(r.Target) > stmt.Min
+	req, ok := st.RequirementsOf(r.Target)
+	return !ok || st.Count(r.Target) > req.Min
 }
 
 const evictIdle = 2 * time.Second // a replica used more recently is not evicted
--- a/internal/core/placement/planner.go
+++ b/internal/core/placement/planner.go
@@ -227,8 +227,8 @@
 			delete(p.proposed, k)
 		}
 	}
-	for t, in := range p.reservations {
-		if now.After(in.expires) {
+	for t, res := range p.reservations {
+		if now.After(res.expires) {
 			delete(p.reservations, t)
 		}
 	}
@@ -280,7 +280,7 @@
 // reservation at that host.
 func (p *Planner) recordSource(id ident.Index, g state.Grant) {
 	p.sources[id] = p.source(g.Target, g.Host)
-	if in, ok := p.reservations[g.Target]; ok && in.host == g.Host {
+	if res, ok := p.reservations[g.Target]; ok && res.host == g.Host {
 		delete(p.reservations, g.Target)
 	}
 }
--- a/internal/core/placement/sweep.go
+++ b/internal/core/placement/sweep.go
@@ -42,13 +42,13 @@
 // drainReason returns the reason to drain a replica, or "" to keep it. A base
 // model is kept while an adapter depends on it, unless its endpoint is leaving.
 func (p *Planner) drainReason(now time.Time, st *state.State, r state.Replica, surplus map[ident.Target]int) string {
-	if p.hasLeft(now, st, r.Host) {
+	if p.leavingTooLong(now, st, r.Host) {
 		return "the endpoint is leaving"
 	}
 	if len(st.Dependents(r)) > 0 {
 		return ""
 	}
-	stmt, stated := st.RequirementsOf(r.Target)
+	req, stated := st.RequirementsOf(r.Target)
 	if !stated {
 		return "no record in force states it"
 	}
@@ -59,23 +59,23 @@
 	case remaining > st.MaxReplicas(r.Target):
 		surplus[r.Target]++
 		return "more than the records allow"
-	case r.Phase != state.Ready || busy || remaining <= stmt.Min:
+	case r.Phase != state.Ready || busy || remaining <= req.Min:
 		return ""
 	case p.demands[r.Target] != nil && len(p.demands[r.Target].byRequester) > 0:
 		return ""
 	}
 	idle := min(p.replicaIdle(now, r, l), now.Sub(r.Since))
-	if keepAlive := p.keepAliveFor(st, r, stmt); idle > keepAlive {
+	if keepAlive := p.keepAliveFor(st, r, req); idle > keepAlive {
 		surplus[r.Target]++
 		return "idle for " + idle.Truncate(time.Second).String() + ", kept for " + keepAlive.Truncate(time.Second).String()
 	}
 	return ""
 }
 
-// hasLeft reports whether an endpoint has been leaving for longer than a restart
+// leavingTooLong reports whether an endpoint has been leaving for longer than a restart
 // of its agent takes. Draining at once would unload all models at each rolling
 // restart.
-func (p *Planner) hasLeft(now time.Time, st *state.State, h ident.HostID) bool {
+func (p *Planner) leavingTooLong(now time.Time, st *state.State, h ident.HostID) bool {
 	e, ok := st.Endpoint(h)
 	if !ok || !e.Leaving {
 		delete(p.leavingSince, h)
@@ -102,7 +102,7 @@
 }
 
 // keepAliveFor returns how long an idle replica stays loaded.
-func (p *Planner) keepAliveFor(st *state.State, r state.Replica, stmt state.Requirements) time.Duration {
+func (p *Planner) keepAliveFor(st *state.State, r state.Replica, req state.Requirements) time.Duration {
 	switch p.cfg.Policy {
 	case PolicyFixed:
 		return p.cfg.FixedKeepAlive
@@ -111,7 +111,7 @@
 	}
 	stats := st.History().Stats(r.Target)
 	reload := p.loadTime(p.source(r.Target, r.Host), r.Bytes)
-	return stats.KeepFor(p.cfg.KeepAlive, stmt.Weight, reload)
+	return stats.KeepFor(p.cfg.KeepAlive, req.Weight, reload)
 }
 
 const unlimited = 1000 * time.Hour
@@ -119,8 +119,8 @@
 // demandMinimum adds demand for the replicas that records keep loaded at all
 // times.
 func (p *Planner) demandMinimum(now time.Time, st *state.State) {
-	st.EachTarget(func(t ident.Target, stmt state.Requirements) {
-		if stmt.Min > st.Count(t) {
+	st.EachTarget(func(t ident.Target, req state.Requirements) {
+		if req.Min > st.Count(t) {
 			td := p.demandFor(now, t)
 			td.warmUntil = maxTime(td.warmUntil, now.Add(p.cfg.DemandTTL))
 		}
--- a/internal/core/state/apply.go
+++ b/internal/core/state/apply.go
@@ -173,7 +173,7 @@
 func (s *State) putRecord(r Record) {
 	s.records[r.Name] = r
 	s.config = s.index
-	s.recomputeStatements()
+	s.recomputeRequirements()
 	s.changes = append(s.changes, Change{Index: s.index, Record: &r})
 }
 
--- a/internal/core/state/replicas.go
+++ b/internal/core/state/replicas.go
@@ -43,7 +43,7 @@
 // number of replicas. The planner checks the same limits, but its state may be
 // outdated; here they are checked against the state of the log.
 func (s *State) grant(by string, c Grant) Result {
-	stmt, ok := s.stated[c.Target]
+	stmt, ok := s.requirements[c.Target]
 	bytes := stmt.Bytes
 	if !ok {
 		return Result{Code: NotFound, Message: fmt.Sprintf("no record in force states %s", c.Target)}
--- a/internal/core/state/statement.go
+++ b/internal/core/state/requirements.go
@@ -19,20 +19,20 @@
 
 // RequirementsOf returns the requirements of a target, and false if no record in force names it.
 func (s *State) RequirementsOf(t ident.Target) (Requirements, bool) {
-	st, ok := s.stated[t]
+	st, ok := s.requirements[t]
 	return st, ok
 }
 
 // EachTarget calls f for every target of the records in force, in unspecified order.
 func (s *State) EachTarget(f func(ident.Target, Requirements)) {
-	for t, st := range s.stated {
+	for t, st := range s.requirements {
 		f(t, st)
 	}
 }
 
-// recomputeStatements aggregates the requirements of all targets from the records.
-func (s *State) recomputeStatements() {
-	clear(s.stated)
+// recomputeRequirements aggregates the requirements of all targets from the records.
+func (s *State) recomputeRequirements() {
+	clear(s.requirements)
 	for _, r := range s.records {
 		if r.service == nil {
 			continue
@@ -54,7 +54,7 @@
 }
 
 func (s *State) addTarget(svc *record.Service, m *record.Model, t ident.Target, bytes int64, minReplicas int) {
-	st, seen := s.stated[t]
+	st, seen := s.requirements[t]
 	st.Bytes = max(st.Bytes, bytes)
 	st.Min += minReplicas
 	st.Max += m.MaxReplicas
@@ -65,5 +65,5 @@
 	if !slices.Contains(st.Places, svc.Place) {
 		st.Places = append(slices.Clip(st.Places), svc.Place)
 	}
-	s.stated[t] = st
+	s.requirements[t] = st
 }
--- a/internal/core/state/state.go
+++ b/internal/core/state/state.go
@@ -25,13 +25,13 @@
 	records map[string]Record
 	results map[string]storedResult
 
-	endpoints   map[ident.HostID]Endpoint
-	replicas    map[ident.Index]Replica
-	used        map[ident.HostID]int64         // bytes of all replicas by endpoint
-	byTarget    map[ident.Target][]ident.Index // in ascending order
-	byPlacement map[placement]ident.Index
-	byHost      map[ident.HostID][]ident.Index
-	stated      map[ident.Target]Requirements // requirements of each target, from the records in force
+	endpoints    map[ident.HostID]Endpoint
+	replicas     map[ident.Index]Replica
+	used         map[ident.HostID]int64         // bytes of all replicas by endpoint
+	byTarget     map[ident.Target][]ident.Index // in ascending order
+	byPlacement  map[placement]ident.Index
+	byHost       map[ident.HostID][]ident.Index
+	requirements map[ident.Target]Requirements // requirements of each target, from the records in force
 
 	claims   map[ClaimKey]Claim
 	expiry   map[int64][]ClaimKey // minute of expiry to keys
@@ -70,7 +70,7 @@
 		records: map[string]Record{}, results: map[string]storedResult{},
 		endpoints: map[ident.HostID]Endpoint{}, replicas: map[ident.Index]Replica{},
 		byPlacement: map[placement]ident.Index{}, byHost: map[ident.HostID][]ident.Index{},
-		used: map[ident.HostID]int64{}, byTarget: map[ident.Target][]ident.Index{}, stated: map[ident.Target]Requirements{},
+		used: map[ident.HostID]int64{}, byTarget: map[ident.Target][]ident.Index{}, requirements: map[ident.Target]Requirements{},
 		claims: map[ClaimKey]Claim{}, expiry: map[int64][]ClaimKey{}, open: map[ClaimKey]struct{}{},
 		history: keepalive.NewHistory(), suspects: poison.NewBook(),
 	}
@@ -126,7 +126,7 @@
 
 // MaxReplicas returns the maximum number of replicas of a target. An adapter has the
 // maximum of its base model.
-func (s *State) MaxReplicas(t ident.Target) int { return s.stated[t.Base()].Max }
+func (s *State) MaxReplicas(t ident.Target) int { return s.requirements[t.Base()].Max }
 
 // Claim returns the claim under key.
 func (s *State) Claim(k ClaimKey) (Claim, bool) {
@@ -234,7 +234,7 @@
 	for _, c := range im.Claims {
 		s.putClaim(c)
 	}
-	s.recomputeStatements()
+	s.recomputeRequirements()
 	return s, nil
 }
 
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -225,7 +225,7 @@
 		e.cached[o.Target] = placement.FromMemory
 	}
 	e.mu.Unlock()
-	e.loseAnswer()
+	e.dropAnswer()
 }
 
 func (e *Engine) used() int64 {
@@ -236,8 +236,8 @@
 	return sum
 }
 
-// loseAnswer breaks the connection instead of answering if a test injected LostOrders.
-func (e *Engine) loseAnswer() {
+// dropAnswer breaks the connection instead of answering if a test injected LostOrders.
+func (e *Engine) dropAnswer() {
 	e.mu.Lock()
 	lost := e.faults.LostOrders > 0
 	if lost {
@@ -262,7 +262,7 @@
 	}
 	delete(e.held, o.Target)
 	e.mu.Unlock()
-	e.loseAnswer()
+	e.dropAnswer()
 }
 
 func (e *Engine) list(w http.ResponseWriter, _ *http.Request) {
