--- a/internal/adapter/rpc/rpc_test.go
+++ b/internal/adapter/rpc/rpc_test.go
@@ -134,7 +134,7 @@
 }
 
 // A reader that reads nothing still ends the connection within the write timeout.
-func TestReaderThatStandsStillEndsALargeMessage(t *testing.T) {
+func TestStalledReaderEndsALargeMessage(t *testing.T) {
 	is := is.New(t)
 	stop := make(chan struct{})
 	defer close(stop)
--- a/internal/app/control/disks_test.go
+++ b/internal/app/control/disks_test.go
@@ -119,7 +119,7 @@
 // or refuses every write, while an operator makes changes; a host whose write
 // failed restarts. The faults are a leader that keeps leading with a stalled disk, a failed
 // write that counts as done, and a vote that is not stored.
-func TestDiskTroublesLoseNoChange(t *testing.T) {
+func TestDiskFaultsLoseNoChange(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
--- a/internal/app/control/group_test.go
+++ b/internal/app/control/group_test.go
@@ -353,7 +353,7 @@
 // although it knows the leader. The host loses its disk and restarts under a new identity; the
 // leader still has the old one at that address, and admits the new one late. The fault is to
 // answer from the local copy alone, which is not updated before the host is a member.
-func TestHostThatIsNoMemberYetReadsThroughTheLeader(t *testing.T) {
+func TestNonMemberReadsThroughTheLeader(t *testing.T) {
 	g := newGroup(t, 4)
 	g.eventually("formed", func() bool { return g.complete(4) })
 	g.deploy(0, 5)
--- a/internal/app/controller/confirm_test.go
+++ b/internal/app/controller/confirm_test.go
@@ -54,7 +54,7 @@
 
 // Guards against orders from a host that no longer leads: a leader is suspended after a
 // plan, another one takes over, and the first one resumes.
-func TestOrdersThatNoQuorumConfirmsAreNotGiven(t *testing.T) {
+func TestOrdersWithoutQuorumConfirmationAreNotSent(t *testing.T) {
 	is := is.New(t)
 	fl := &testFleet{answer: fleet.Accepted}
 	lead := leading(7)
--- a/internal/app/controller/controller_test.go
+++ b/internal/app/controller/controller_test.go
@@ -309,7 +309,7 @@
 // Guards against a leader that plans after each report of many entries, each of which sends
 // several a second. Its plans take longer than the time between reports, reports queue up,
 // and entries learn of leaving endpoints and of deployments seconds late.
-func TestReportsArePlannedTogether(t *testing.T) {
+func TestReportsAreBatchedIntoOnePlan(t *testing.T) {
 	is := is.New(t)
 	lead := leading(4)
 	c := startController(t, lead, &testFleet{answer: fleet.Accepted})
@@ -366,7 +366,7 @@
 // Guards against a new leader that encodes the whole list for each entry: 300 entries
 // request 3,000 endpoints at once, each answer takes 0.8 MB, the leader's process runs out of
 // memory, and entries know no endpoints for 10 s and more.
-func TestWholeListOfManyEndpointsIsPackedOnce(t *testing.T) {
+func TestWholeListIsCompressedOnce(t *testing.T) {
 	is := is.New(t)
 	pub := newPublisher(0)
 	pub.startLeading(7)
@@ -402,7 +402,7 @@
 
 // Guards against a large change that is sent to 300 entries at the same moment: heartbeats
 // queue behind it, and leaders change every 2 s while a large deployment starts.
-func TestLargeNewsIsSpacedOut(t *testing.T) {
+func TestLargeAnswersArePaced(t *testing.T) {
 	is := is.New(t)
 	c := New(Config{Fleet: &testFleet{}, Planner: fleet.DefaultConfig(), Log: zerolog.Nop(), SendRate: 100_000})
 	large := wire.PullResult{Packed: make([]byte, 10_000)}
--- a/internal/app/controller/pacing_test.go
+++ b/internal/app/controller/pacing_test.go
@@ -12,7 +12,7 @@
 
 // Guards against an entry that gets no new deployment for seconds because other entries
 // take all slots on the leader's link while deployments follow each other quickly.
-func TestEveryEntryGetsItsTurnOnTheLeadersLink(t *testing.T) {
+func TestNoEntryIsStarvedOnTheLeadersLink(t *testing.T) {
 	is := is.New(t)
 	const (
 		entries = 100
--- a/internal/app/controller/publisher_test.go
+++ b/internal/app/controller/publisher_test.go
@@ -22,7 +22,7 @@
 // loaded, and against a leader that spends a quarter of its time publishing each load to all
 // entries. An entry waits for a model, which is loaded just after a publication of something
 // else to all entries.
-func TestEntryThatWaitsIsToldBeforeAllOthers(t *testing.T) {
+func TestWaitingEntryIsUpdatedFirst(t *testing.T) {
 	is := is.New(t)
 	c := idle(leading(3), &testFleet{})
 	now := time.Unix(1e6, 0)
--- a/internal/app/daemon/clock_test.go
+++ b/internal/app/daemon/clock_test.go
@@ -31,7 +31,7 @@
 // decision: a silent process would not be noticed, or something that is kept for an hour
 // would be dropped at once. A time.Time that is converted to or from a number loses its
 // monotonic clock reading, and differences of such times follow the wall clock.
-func TestTimeOfDayDecidesNothing(t *testing.T) {
+func TestWallClockAffectsNoDecision(t *testing.T) {
 	wallClockMethods := []string{"Unix", "UnixMilli", "UnixMicro", "UnixNano", "Round", "UTC"}
 	found := map[string]bool{}
 	for _, root := range []string{"internal", "platform", "cmd"} {
--- a/internal/app/dev/control_test.go
+++ b/internal/app/dev/control_test.go
@@ -297,7 +297,7 @@
 // A customer must not be served under a withdrawn record by an entry that is partitioned
 // from control. The entry cannot know of the withdrawal; the agent does, and refuses the
 // request.
-func TestCutOffEntryCannotActOnAWithdrawnRecord(t *testing.T) {
+func TestPartitionedEntryCannotServeUnderAWithdrawnRecord(t *testing.T) {
 	is := is.New(t)
 	var relay *fake.Relay
 	s := start(t, func(c *Config) {
--- a/internal/app/dev/endpoints_test.go
+++ b/internal/app/dev/endpoints_test.go
@@ -49,7 +49,7 @@
 // reclaims its host: the host and its agent disappear, and the platform's list shows it
 // later. Silence alone does not prove that a host is gone; the end of its lease together
 // with its absence from the list does.
-func TestReclaimedHostGivesItsReplicasFree(t *testing.T) {
+func TestReclaimedHostReleasesItsReplicas(t *testing.T) {
 	is := is.New(t)
 	s := start(t, func(c *Config) {
 		c.Leases.GoneWait = 500 * time.Millisecond
--- a/internal/app/dev/random_test.go
+++ b/internal/app/dev/random_test.go
@@ -60,7 +60,7 @@
 // at all roles, some of them concurrent, with streams, plain posts and keyed posts that their
 // callers repeat. It covers cases without a test of their own: every answer is compared with
 // what the engine and the plain service ran.
-func TestRandomFaultsKeepEveryPromise(t *testing.T) {
+func TestRandomFaultsKeepEveryGuarantee(t *testing.T) {
 	n, err := strconv.Atoi(os.Getenv("CASSIAPASS_FAULT_SEEDS"))
 	if err != nil {
 		n = 2 // for CI; set CASSIAPASS_FAULT_SEEDS for more
@@ -164,7 +164,7 @@
 
 // The checks above must be able to fail: each safeguard is disabled in the situation that it
 // is for, and the failure that it prevents must occur.
-func TestMissingSafeguardsShow(t *testing.T) {
+func TestMissingSafeguardsAreDetected(t *testing.T) {
 	t.Run("restarts are forgotten", func(t *testing.T) {
 		is := is.New(t)
 		is.Equal(runAfterRestart(t, agent.UnsafeNone), wire.RunUnknown)
--- a/internal/app/dev/requests_test.go
+++ b/internal/app/dev/requests_test.go
@@ -58,7 +58,7 @@
 // A stream must continue when its connection becomes silent although endpoint and entry are
 // healthy: a device on the path drops the connection's state during the stream, while new
 // connections work. An open TCP connection does not prove that its path works.
-func TestAnswerGoesOnWhenItsConnectionFallsSilent(t *testing.T) {
+func TestAnswerContinuesWhenItsConnectionBecomesSilent(t *testing.T) {
 	is := is.New(t)
 	s := start(t, func(c *Config) { c.Relayed, c.TokenEvery = true, 10*time.Millisecond })
 	warm(t, s)
@@ -82,7 +82,7 @@
 // An answer must be complete and contain no part of another one when the connection between
 // agent and engine closes, becomes silent or returns another request's answer, or when the
 // connection to the entry closes. A stream uses both connections, and each can fail alone.
-func TestAnswersAreWholeWhateverIsCut(t *testing.T) {
+func TestAnswersAreCompleteWhenConnectionsFail(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fault func(*System)
@@ -222,7 +222,7 @@
 
 // A planned stop of an agent or entry during streams must not cut off answers: it has to wait
 // for requests in progress.
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestPlannedStopCutsNoAnswer(t *testing.T) {
 	for _, who := range []string{"agent", "entry"} {
 		t.Run(who, func(t *testing.T) {
 			t.Parallel()
@@ -302,7 +302,7 @@
 
 // A burst of first requests for several models at all entries must not load a replica for
 // each entry. Entries do not know each other's demand, so control has to decide.
-func TestBurstAtAllEntriesKeepsWithinWhatWasDecided(t *testing.T) {
+func TestBurstAtAllEntriesLoadsOnlyDecidedReplicas(t *testing.T) {
 	is := is.New(t)
 	s := start(t, func(c *Config) { c.Entries = 3 })
 	models := []string{"summary", "notice", "classify", "summary:east-terms"}
--- a/internal/app/gateway/eta_test.go
+++ b/internal/app/gateway/eta_test.go
@@ -21,7 +21,7 @@
 
 // Guards against callers that wait in vain and are refused after half of their time: the
 // model is loaded from the store in 13 s, and they have 2 s.
-func TestCallerWhoseModelComesTooLateIsToldAtOnce(t *testing.T) {
+func TestCallerWhoseModelLoadsTooLateIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	g := withETAs(t, fleet.ETA{Model: "rare", In: 13 * time.Second})
 	begin := time.Now()
--- a/internal/app/gateway/identity_test.go
+++ b/internal/app/gateway/identity_test.go
@@ -34,7 +34,7 @@
 	g.dir.wake()
 }
 
-func TestOnlyCustomersAreServedAndEndpointsLearnWhoAsks(t *testing.T) {
+func TestOnlyCustomersAreServedAndEndpointsReceiveTheCustomer(t *testing.T) {
 	is := is.New(t)
 	b := newFakeEndpoint(t, answerOK)
 	g := startGateway(t, b)
@@ -54,7 +54,7 @@
 
 // Guards against a caller that removes a field meant for endpoints by naming it in its
 // Connection field.
-func TestConnectionFieldCannotNameWhatEndpointsAreTold(t *testing.T) {
+func TestConnectionFieldCannotRemoveFieldsForEndpoints(t *testing.T) {
 	is := is.New(t)
 	b := newFakeEndpoint(t, answerOK)
 	g := startGateway(t, b)
--- a/internal/app/gateway/requests_test.go
+++ b/internal/app/gateway/requests_test.go
@@ -46,7 +46,7 @@
 
 // Guards against an operation that runs twice: the endpoint receives the request and closes
 // the connection, and the request, which may have run, is sent again.
-func TestOnceIsNeverSentAgainInDoubt(t *testing.T) {
+func TestOnceRequestIsNotResentWhenItMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	closeConn := func(*bufio.Reader, net.Conn, *http.Request, []byte) bool { return false }
 	a, b := newFakeEndpoint(t, closeConn), newFakeEndpoint(t, closeConn)
@@ -62,7 +62,7 @@
 // Guards against a GET that runs three times though the route allows two attempts: a kept
 // connection is closed under a request, and the standard client repeats such a request by
 // itself.
-func TestKeptConnectionThatClosesIsNotRetriedBehindOurBack(t *testing.T) {
+func TestClosedKeptConnectionCausesNoImplicitRetry(t *testing.T) {
 	is := is.New(t)
 	first := true
 	b := newFakeEndpoint(t, func(_ *bufio.Reader, c net.Conn, r *http.Request, _ []byte) bool {
@@ -112,7 +112,7 @@
 // Guards against a caller that receives another caller's answer: an endpoint sends an extra
 // answer after a complete one, at once or where the next answer is expected, and the bytes
 // on the kept connection are read as the next answer.
-func TestStrayAnswersReachNobody(t *testing.T) {
+func TestStrayAnswersReachNoCaller(t *testing.T) {
 	is := is.New(t)
 	stray := "HTTP/1.1 200 OK\r\nId: other\r\nContent-Length: 5\r\n\r\nstray"
 	n := 0
@@ -276,7 +276,7 @@
 // Guards against cut streams that begin long after a stop was announced: requests that are
 // accepted late cannot end before the process is killed. There is a request in progress,
 // and requests on kept connections, one soon after the stop and one late.
-func TestStopServesWhatCanEndAndRefusesTheRest(t *testing.T) {
+func TestStopServesOnlyRequestsThatCanEnd(t *testing.T) {
 	is := is.New(t)
 	b := newFakeEndpoint(t, func(_ *bufio.Reader, c net.Conn, r *http.Request, _ []byte) bool {
 		if r.Header.Get("Id") == "long" {
@@ -311,7 +311,7 @@
 
 // Guards against an unknown outcome (502) of a POST at the end of a planned stop: no request
 // is in progress, one arrives before the process has ended, is begun and then cut off.
-func TestRequestAtTheVeryEndOfAStopIsNotBegun(t *testing.T) {
+func TestRequestAtTheEndOfAStopIsNotStarted(t *testing.T) {
 	is := is.New(t)
 	b := newFakeEndpoint(t, answerOK)
 	g := startGateway(t, b)
@@ -328,7 +328,7 @@
 // Guards against a cut stream that was begun 6 s into a planned stop: a request waits for its
 // model when the stop is announced, and the model is loaded shortly before the process ends.
 // Requests that wait must be refused like those that arrive late.
-func TestRequestThatWaitsIsRefusedInTimeByAStop(t *testing.T) {
+func TestWaitingRequestIsRefusedInTimeByAStop(t *testing.T) {
 	is := is.New(t)
 	b := newFakeEndpoint(t, answerOK)
 	g := startGateway(t, b)
--- a/internal/app/gateway/silent_test.go
+++ b/internal/app/gateway/silent_test.go
@@ -14,7 +14,7 @@
 // answer: an endpoint accepts requests and answers nothing, each caller leaves after its own
 // wait limit, well before the time limit, and a request that its caller ends does not count
 // against the endpoint.
-func TestEndpointThatStaysSilentCountsAsFailing(t *testing.T) {
+func TestSilentEndpointCountsAsFailing(t *testing.T) {
 	is := is.New(t)
 	silent := newFakeEndpoint(t, func(_ *bufio.Reader, _ net.Conn, _ *http.Request, _ []byte) bool {
 		time.Sleep(5 * time.Second)
--- a/internal/app/gateway/stop_test.go
+++ b/internal/app/gateway/stop_test.go
@@ -21,7 +21,7 @@
 // within 2 s; a stream arrives for which the engine generates all 600. A pace that is computed
 // from the tokens requested, of which engines generate a third on most streams, underestimates
 // the time of a long answer by the same factor.
-func TestStopForeseesAnswersThatUseAllTheirTokens(t *testing.T) {
+func TestStopAllowsForAnswersThatUseAllTheirTokens(t *testing.T) {
 	is := is.New(t)
 	const eventTokens, perToken = 6, 5 * time.Millisecond
 	engine := newFakeEndpoint(t, func(_ *bufio.Reader, c net.Conn, r *http.Request, body []byte) bool {
--- a/internal/app/gateway/streams_test.go
+++ b/internal/app/gateway/streams_test.go
@@ -64,7 +64,7 @@
 // Guards against a truncated answer that looks complete to the caller: a stream that may not
 // be resumed breaks off, and the gateway ends its own chunked body properly though the
 // endpoint's is cut.
-func TestCutStreamDoesNotLookWhole(t *testing.T) {
+func TestTruncatedStreamDoesNotLookComplete(t *testing.T) {
 	is := is.New(t)
 	serve := func(_ *bufio.Reader, c net.Conn, r *http.Request, _ []byte) bool {
 		head(c, r)
@@ -186,7 +186,7 @@
 // complete, closed its connection: the first stream ends and its connection to the endpoint
 // is kept, its caller closes at once, the next request uses the kept connection, and the end
 // of the first request still aborts that connection.
-func TestCallerThatClosesAfterItsAnswerDisturbsNobody(t *testing.T) {
+func TestCallerThatClosesAfterItsAnswerAbortsNoOtherRequest(t *testing.T) {
 	is := is.New(t)
 	b := newFakeEndpoint(t, func(_ *bufio.Reader, c net.Conn, r *http.Request, _ []byte) bool {
 		head(c, r)
--- a/internal/app/replay/replay_test.go
+++ b/internal/app/replay/replay_test.go
@@ -32,7 +32,7 @@
 // traces have scarce memory; endpoints die and return, hosts are reclaimed, the
 // store is slow and leaders are lost, in any order and concurrently. The state, the
 // ledgers, the queues and the engines' own memory are checked at each step.
-func TestRandomSchedulesKeepTheTwoPromises(t *testing.T) {
+func TestRandomSchedulesKeepInvariants(t *testing.T) {
 	n := schedules(240)
 	const workers = 8
 	for w := range workers {
--- a/internal/core/allowance/allowance_test.go
+++ b/internal/core/allowance/allowance_test.go
@@ -118,7 +118,7 @@
 
 // Guards against an entry that is partitioned from the leader and spends more than the leader
 // withholds for it.
-func TestSilentEntrySpendsWhatIsKeptBackForIt(t *testing.T) {
+func TestSilentEntrySpendsWhatIsWithheldForIt(t *testing.T) {
 	is := is.New(t)
 	l, lim := settled(1000, 1000), limitOf(1000, 1000)
 	cut, other := newClient(1), newClient(2)
@@ -152,7 +152,7 @@
 
 // Guards against an entry that, just after its leader became silent, refuses the first requests
 // of customers that use half of their allowance and call it every other second.
-func TestSilentLeaderDoesNotStopCustomersThatComeRarely(t *testing.T) {
+func TestSilentLeaderDoesNotStopInfrequentCustomers(t *testing.T) {
 	is := is.New(t)
 	l, lim := settled(5000, 5000), limitOf(5000, 5000)
 	clients := make([]*Client, 5)
@@ -185,7 +185,7 @@
 
 // Guards against a leader that grants the whole rate to the entries it can reach, while others
 // have been partitioned since before it led and spend fallback rates of its predecessor.
-func TestNewLeaderKeepsBackForEntriesThatItHasNeverHeard(t *testing.T) {
+func TestNewLeaderWithholdsForUnseenEntries(t *testing.T) {
 	is := is.New(t)
 	old, lim := settled(1000, 1000), limitOf(1000, 1000)
 	names := []string{"a", "b", "c"}
--- a/internal/core/consensus/large_test.go
+++ b/internal/core/consensus/large_test.go
@@ -87,7 +87,7 @@
 // small append counts as lost, while heartbeats pass. If it were sent again after 20 ticks
 // regardless of its size, copies would queue up behind the first one and none would be
 // acknowledged in time.
-func TestLargeAppendIsNotSentAnewWhileItIsUnderWay(t *testing.T) {
+func TestLargeAppendIsNotResentWhileInFlight(t *testing.T) {
 	const size = 2 << 20
 	const slowest = 32 << 10 // bytes a tick: 0.6 MB/s at 50 ms a tick
 	s := newSlowPeer(t)
--- a/internal/core/consensus/observer_test.go
+++ b/internal/core/consensus/observer_test.go
@@ -9,7 +9,7 @@
 // An observer that was removed while it was partitioned receives no more messages from the
 // leader. It must drop its leader then, or it never asks to join again. A voter drops its
 // leader when it campaigns, but an observer never campaigns.
-func TestObserverForgetsALeaderThatIsSilent(t *testing.T) {
+func TestObserverDropsASilentLeader(t *testing.T) {
 	is := is.New(t)
 	const beat = 4
 	ms := Membership{Members: []Member{{ID: 1, Voter: true}, {ID: 2}}}
--- a/internal/core/consensus/random_test.go
+++ b/internal/core/consensus/random_test.go
@@ -445,7 +445,7 @@
 
 // Shows that the checks can fail: each safeguard is disabled in turn, and the same runs
 // must detect it.
-func TestRandomRunsNoticeMissingSafeguards(t *testing.T) {
+func TestRandomRunsDetectMissingSafeguards(t *testing.T) {
 	for _, mut := range []mutation{loseVotes, loseSync, loseResend} {
 		t.Run(string(mut), func(t *testing.T) {
 			t.Parallel()
--- a/internal/core/consensus/start_test.go
+++ b/internal/core/consensus/start_test.go
@@ -11,7 +11,7 @@
 // term nor its role changes. Otherwise it campaigns after 0.13 s without a heartbeat, where
 // followers wait for 0.4 s and more, and helps to depose a leader that is only busy
 // sending a large entry.
-func TestMemberThatHeardItsFirstLeaderWaitsAFullTimeout(t *testing.T) {
+func TestMemberThatSawItsFirstLeaderWaitsAFullTimeout(t *testing.T) {
 	const electionTicks, startTicks = 10, 3
 	var m consensus.Membership
 	for id := range consensus.NodeID(3) {
--- a/internal/core/contact/model_test.go
+++ b/internal/core/contact/model_test.go
@@ -410,7 +410,7 @@
 // disks elect a leader again, but the seeds know only each other, and no other host is
 // asked. If a host that is greeted did not record the sender's address, no request would be
 // served again although every disk and every process is back.
-func TestWhateverAnyoneKnowsConnectsTheGroup(t *testing.T) {
+func TestAnyKnownAddressesConnectTheGroup(t *testing.T) {
 	var found atomic.Int64
 	var workers sync.WaitGroup
 	for worker := range uint64(runtime.GOMAXPROCS(0)) {
--- a/internal/core/fleet/adapters_test.go
+++ b/internal/core/fleet/adapters_test.go
@@ -30,7 +30,7 @@
 // adapter places are taken, and one adapter after the other is requested. An adapter is
 // unloaded at once, and the engine answers as if the order had been in effect already; if
 // the planner kept the previous sequence number, the engine would refuse the next orders.
-func TestAdapterThatMakesWayCountsAsAnOrder(t *testing.T) {
+func TestUnloadedAdapterCountsAsAnOrder(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(1, 1, 9, 0)
 	s.engines["e00"].held["m0"] = map[string]bool{"a0": true, "a1": true}
--- a/internal/core/fleet/age_test.go
+++ b/internal/core/fleet/age_test.go
@@ -31,7 +31,7 @@
 // list is requested, a model is loaded by order, and the list arrives seconds after the
 // request, as it has many pages or its reader had no processor time. It arrives long after
 // the order but was made before it.
-func TestListThatWasAskedForBeforeALoadDropsNothing(t *testing.T) {
+func TestListRequestedBeforeALoadDropsNothing(t *testing.T) {
 	is := is.New(t)
 	s, startedAt := startWithLoad(t)
 	s.run(10) // the engine's own report has confirmed the load
@@ -48,7 +48,7 @@
 // report lags by some 100 ms and does not list the model; the report is processed 0.6 s
 // later. Recently loaded models must be kept by the time of the query, not by that of
 // processing.
-func TestReportThatIsTakenInLateDropsNothing(t *testing.T) {
+func TestReportProcessedLateDropsNothing(t *testing.T) {
 	is := is.New(t)
 	s, _ := startWithLoad(t)
 	e := s.p.engines["e00"]
--- a/internal/core/fleet/copies_test.go
+++ b/internal/core/fleet/copies_test.go
@@ -13,7 +13,7 @@
 // was used as if it had one. Engines appear, disappear, restart under the same name, and
 // gain and lose copies; the index of copies, which is kept from plan to plan, must follow
 // every change.
-func TestIndexOfCopiesIsWhatEnginesTell(t *testing.T) {
+func TestCopyIndexMatchesEngines(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(4, 9))
 	s := newSimulation(1, 6, 12, 0)
--- a/internal/core/fleet/eta_test.go
+++ b/internal/core/fleet/eta_test.go
@@ -92,7 +92,7 @@
 // After a fifth of the engines had crashed, callers were refused at once with 13 s to wait
 // for models that were served again in 4 s. An engine with the only copy of a model crashes
 // and is no longer listed; it restarts within seconds, with its disk unchanged.
-func TestModelOfAnEngineThatMayBeBackHasNoETA(t *testing.T) {
+func TestModelOfAReturningEngineHasNoETA(t *testing.T) {
 	is := is.New(t)
 	s := newEmptyDisks(12, 8)
 	s.engines["e00"].disk["m0"] = true
--- a/internal/core/fleet/incarnation_test.go
+++ b/internal/core/fleet/incarnation_test.go
@@ -23,7 +23,7 @@
 // An engine accepts two loads; the third gets no answer and is delayed by 5 s; the engine
 // restarts, and two large models are requested. With both loaded, the late order's number
 // matches, but its model does not fit.
-func TestLateLoadFindsRoomOnTheNextStart(t *testing.T) {
+func TestLateLoadFitsTheNextIncarnation(t *testing.T) {
 	if c := runLateLoad(func(*simulation) {}); c != "" {
 		t.Fatal(c)
 	}
--- a/internal/core/fleet/planner_test.go
+++ b/internal/core/fleet/planner_test.go
@@ -258,7 +258,7 @@
 // seconds later the first is carried out. The number shows that an order was carried out,
 // but not which one; the planner assumed the second, and counted its load instead of the
 // first one's.
-func TestOrderThatMayBeAnotherIsNotTakenForDone(t *testing.T) {
+func TestAmbiguousOrderIsNotAssumedDone(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(1, 1, 9, 0)
 	s.engines["e00"].held["m0"] = map[string]bool{}
--- a/internal/core/fleet/quarantine_test.go
+++ b/internal/core/fleet/quarantine_test.go
@@ -14,7 +14,7 @@
 // model. A requested model that no engine holds ends each engine that loads it, and the
 // planner orders it on the next one, and again on each that has restarted. What a load did
 // to one engine must not be forgotten with that engine.
-func TestModelWhoseLoadEndsEnginesIsNotCarriedFromOneToTheNext(t *testing.T) {
+func TestModelWhoseLoadEndsEnginesIsQuarantined(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(1, 6, 12, 0)
 	for _, e := range s.engines {
@@ -61,7 +61,7 @@
 // A model was not loaded any more, and all requests for it were refused. A request ends each
 // engine as soon as that holds its model, before any report; the ends follow a load closely,
 // but must not be attributed to it.
-func TestModelIsNotBlamedForWhatARequestDid(t *testing.T) {
+func TestEndsUnderARequestAreNotAttributedToItsModel(t *testing.T) {
 	is := is.New(t)
 	p := New(DefaultConfig())
 	now := time.Unix(1e6, 0)
--- a/internal/core/fleet/spare_test.go
+++ b/internal/core/fleet/spare_test.go
@@ -13,7 +13,7 @@
 // evicted where another engine can take over. The request rate counts, not only the running
 // requests: a replica that its model needs for its rate stays, or the model gets it back a
 // moment later.
-func TestSecondReplicaInUseMakesWayForAModelThatHasNone(t *testing.T) {
+func TestReplicaInUseIsEvictedForAModelWithoutOne(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(1, 3, 12, 0)
 	places := map[EndpointID][]string{"e00": {"m1", "m3"}, "e01": {"m1", "m5"}, "e02": {"m7", "m9"}}
--- a/internal/core/holder/holder_test.go
+++ b/internal/core/holder/holder_test.go
@@ -83,7 +83,7 @@
 }
 
 // Without the margin for late orders, leaders alternate under some seed.
-func TestWithoutTheMarginForLateOrdersHoldersTakeTurns(t *testing.T) {
+func TestWithoutTheMarginForLateOrdersHoldersAlternate(t *testing.T) {
 	for seed := range uint64(2000) {
 		if alternates(simulate(seed, 0, waitRule)) {
 			return
--- a/internal/core/poison/poison_test.go
+++ b/internal/core/poison/poison_test.go
@@ -172,7 +172,7 @@
 // killed, and just after their restart a zone fails and four endpoints end within half a
 // second, each under some of the look-ups. No entry remembers then that others like them were
 // answered.
-func TestEndsThatComeTogetherCountOnceForEntriesThatJustStarted(t *testing.T) {
+func TestConcurrentEndsCountOnceForColdEntries(t *testing.T) {
 	is := is.New(t)
 	b, f := NewBook(), name("look-up")
 	for i, s := range []string{"a", "b", "c", "d"} {
--- a/internal/core/poison/simulation_test.go
+++ b/internal/core/poison/simulation_test.go
@@ -238,7 +238,7 @@
 // hundred of those that were under an end, and one in a thousand of all requests. The look-ups,
 // which are identical and under most ends of plain endpoints, are never refused. A harmful
 // request runs until three engines have ended, and once more if two of its runs are in flight.
-func TestTheInnocentAreSeldomRefused(t *testing.T) {
+func TestHarmlessRequestsAreRarelyRefused(t *testing.T) {
 	for _, harmful := range []int{0, 2, 8} {
 		t.Run(fmt.Sprint(harmful, " guilty"), func(t *testing.T) {
 			is := is.New(t)
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -121,7 +121,7 @@
 // After a restart of all hosts, six hosts without a disk and one whose disk was lost ask to
 // join under new identities. Each change takes some 0.3 s; in arbitrary order, the lost
 // vote would be replaced seconds late.
-func TestHostsWithADiskComeFirst(t *testing.T) {
+func TestHostsWithADiskJoinFirst(t *testing.T) {
 	is := is.New(t)
 	r := New(DefaultConfig(1), start)
 	now := start.Add(time.Second)
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -80,7 +80,7 @@
 	is.Equal(tab.Ejected(start.Add(time.Minute), cs[0].Host), false)
 }
 
-func TestLeavingEndpointsGetNothing(t *testing.T) {
+func TestLeavingEndpointsGetNoRequests(t *testing.T) {
 	is := is.New(t)
 	tab := table()
 	cs := candidates(2, "near")
--- a/internal/core/state/deployment_test.go
+++ b/internal/core/state/deployment_test.go
@@ -52,7 +52,7 @@
 
 // A deployment of 0.75 MB, written to the log uncompressed, would take 5.5 MB of the
 // leader's link, which is half a second of its bandwidth.
-func TestLongTextsArePackedInTheLog(t *testing.T) {
+func TestLongTextsAreCompressedInTheLog(t *testing.T) {
 	is := is.New(t)
 	var routes strings.Builder
 	for i := range 4200 {
@@ -86,7 +86,7 @@
 
 // In a group of two releases, a host of the older one must fail on a compressed text. If it
 // read an empty text, an empty configuration would be committed and acknowledged.
-func TestReleaseWithoutPackedTextsRefusesThem(t *testing.T) {
+func TestReleaseWithoutCompressionRejectsCompressedTexts(t *testing.T) {
 	is := is.New(t)
 	data, err := json.Marshal(Command{Deploy: &Deploy{3, strings.Repeat("x", 2*compressFrom)}})
 	is.NoErr(err)
