--- a/cmd/cassiapass-agent/main.go
+++ b/cmd/cassiapass-agent/main.go
@@ -1,5 +1,5 @@
-// Command cassiapass-agent runs beside one endpoint: it keeps the memory ledger and
-// is the only way to the engine or plain service.
+// Command cassiapass-agent runs on the host of one endpoint. It keeps the memory ledger,
+// and all requests to the engine or plain service go through it.
 package main
 
 import (
--- a/cmd/cassiapass-capacity/main.go
+++ b/cmd/cassiapass-capacity/main.go
@@ -1,5 +1,5 @@
-// Command cassiapass-capacity measures how the cost of each role grows and works
-// out the tables of docs/CAPACITY.md.
+// Command cassiapass-capacity measures how the cost of each role grows with load and
+// computes the tables of docs/CAPACITY.md.
 package main
 
 import (
--- a/cmd/cassiapass-dev/main.go
+++ b/cmd/cassiapass-dev/main.go
@@ -1,5 +1,5 @@
-// Command cassiapass-dev runs every role and fakes of everything outside in one
-// process on loopback, with sample records.
+// Command cassiapass-dev runs all roles and fakes of all external systems in one process on
+// the loopback interface, with sample records.
 package main
 
 import (
--- a/cmd/cassiapass-entry/main.go
+++ b/cmd/cassiapass-entry/main.go
@@ -1,5 +1,5 @@
-// Command cassiapass-entry runs an entry: callers talk to it, and it admits, routes,
-// retries and resumes their requests.
+// Command cassiapass-entry runs an entry, which accepts callers' requests and admits,
+// routes, retries and resumes them.
 package main
 
 import (
--- a/cmd/cassiapass-lab/main.go
+++ b/cmd/cassiapass-lab/main.go
@@ -1,5 +1,5 @@
-// Command cassiapass-lab plays a load against emulated model engines in virtual
-// time and compares ways to decide what they hold.
+// Command cassiapass-lab simulates a load on emulated model engines in virtual time and
+// compares policies that decide which models they hold.
 package main
 
 import (
--- a/cmd/cassiapass-load/main.go
+++ b/cmd/cassiapass-load/main.go
@@ -1,5 +1,5 @@
-// Command cassiapass-load sends requests at a steady rate and reports how they
-// ended.
+// Command cassiapass-load sends requests at a constant rate and reports their outcomes and
+// latencies.
 package main
 
 import (
--- a/cmd/cassiapass-platform/main.go
+++ b/cmd/cassiapass-platform/main.go
@@ -1,5 +1,5 @@
-// Command cassiapass-platform runs one role on the operators' platform; its
-// settings come from the file that the platform writes.
+// Command cassiapass-platform runs one role on the operators' platform. It reads its
+// settings from the file that the platform writes.
 package main
 
 import (
--- a/cmd/cassiapass-replay/main.go
+++ b/cmd/cassiapass-replay/main.go
@@ -1,5 +1,5 @@
-// Command cassiapass-replay drives the decision packages with a trace on virtual
-// time and reports what their decisions led to.
+// Command cassiapass-replay replays a trace against the decision packages in virtual time
+// and reports the results of their decisions.
 package main
 
 import (
--- a/cmd/cassiapassctl/main.go
+++ b/cmd/cassiapassctl/main.go
@@ -1,5 +1,5 @@
-// Command cassiapassctl is what operators use: it submits, revises and withdraws
-// service records and explains what the system did.
+// Command cassiapassctl is the operators' command line: it submits, revises and withdraws
+// service records and explains the system's decisions.
 package main
 
 import (
--- a/scripts/ablate.sh
+++ b/scripts/ablate.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # Makes a scratch copy of the work tree for each mechanism in scripts/ablations.txt, with
-# that mechanism switched off and the programs built, to be played against a copy with
-# all of them on (named "all"). An edit that changes nothing, or does not build, fails:
-# the mechanism has moved.
+# that mechanism disabled, and builds it, to be compared with an unchanged copy (named
+# "all"). Fails if an edit changes nothing or does not build, because the code that the
+# edit matches has changed.
 #
 #   scripts/ablate.sh FOLDER [NAME...]     all mechanisms if none is named
 set -euo pipefail
@@ -12,7 +12,8 @@
 mkdir -p "$out"
 out=$(cd "$out" && pwd)
 
-# copy makes a copy of what git knows, as it is in the work tree.
+# copy NAME copies the files of the work tree that git tracks or does not ignore, without
+# the journal.
 copy() {
   mkdir -p "$out/$1"
   git ls-files --cached --others --exclude-standard -- . ':!journal' | tar -cf - -T - | tar -xf - -C "$out/$1"
--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures every slope and rewrites docs/capacity.json and the worked-out part
-# of docs/CAPACITY.md. Takes about three minutes; ends by itself.
+# Measures all cost slopes and rewrites docs/capacity.json and the computed part of
+# docs/CAPACITY.md. Takes about three minutes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 dir=$(mktemp -d)
--- a/scripts/play-kinds.sh
+++ b/scripts/play-kinds.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Plays days of our own on the operators' bench: each kind of trouble alone,
-# twice within 2 s, overlapping with a lost control host, and overlapping with
-# another kind, and prints one line a day. Needs the bench's program and a site
-# file; ends by itself.
+# Runs generated scenarios ("days") on the operators' bench: each kind of fault or planned
+# change alone, twice within 2 s, overlapping with the loss of a control host, and
+# overlapping with another kind. Prints one line for each day. Needs the bench's program
+# and a site file.
 #
 #   scripts/play-kinds.sh FLEETBENCH SITE [JOBS [SHAPES]]     SHAPES of "once twice core pair"
 set -euo pipefail
@@ -11,7 +11,7 @@
 dir=$(mktemp -d)
 trap 'rm -rf "$dir"' EXIT
 
-# kind|fields, as the bench's `kinds` explains them
+# kind|fields; the bench's command `kinds` documents them
 kinds='burst|x = 2.0, for_s = 4.0
 retry_abuse|x = 3.0, share = 0.4, for_s = 5.0
 give_up|share = 0.3, for_s = 5.0
@@ -78,12 +78,12 @@
 
 planned=" hup roll_term release scale_out scale_in config_change config_storm config_race bad_config big_config model_shift "
 
-# day NAME SEED ENTRIES_PLAN ENTRIES_FAULTS
+# day NAME SEED PLAN FAULTS writes the scenario file of one day.
 day() {
   printf 'name = "%s"\nseed = %s\nslot = "trouble"\nlabels = []\nclosing = { kind = "kill_all", down_s = 0.8 }\nplan = [\n%s]\nfaults = [\n%s]\n' "$1" "$2" "$3" "$4" > "$dir/$1.toml"
 }
 
-# add AT KIND FIELDS puts one trouble into plan or faults.
+# add AT KIND FIELDS appends one event to plan or faults.
 add() {
   local entry="  { at = $1, kind = \"$2\"${3:+, $3} },"$'\n'
   if [[ $planned == *" $2 "* ]]; then plan+=$entry; else faults+=$entry; fi
@@ -96,7 +96,7 @@
     plan="  { at = 1.0, kind = \"model_shift\", count = 1, for_s = 6.0 },"$'\n' faults=""
     add 6.0 "$kind" "$fields"
     [ "$shape" = twice ] && add 7.5 "$kind" "$fields"
-    # Another kind, a third of the list further on, so that all kinds meet one.
+    # The other kind is a third of the list further on, so that every kind gets one.
     IFS='|' read -r other more <<< "${all[(n + ${#all[@]} / 3) % ${#all[@]}]}"
     [ "$shape" = pair ] && add 7.0 "$other" "$more"
     [ "$shape" = core ] && faults+="  { at = 6.5, kind = \"node_kill\", on = \"core\", count = 1, for_s = 2.5, how = \"leader race\" },"$'\n'
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Plays seeds of the fault soak: the real programs as processes of their own, broken
-# from outside at random, checked by what callers and operators see. About 12 s a seed;
-# ends by itself. A seed that fails prints the last log lines of all processes.
+# Runs seeds of the fault soak test: the real programs run as separate processes under
+# random injected faults and are checked by what callers and operators observe. Takes
+# about 12 s a seed. A seed that fails prints the last log lines of all processes.
 #
-#   scripts/soak.sh [SEEDS [FIRST]]     50 seeds from a first one drawn by the clock
+#   scripts/soak.sh [SEEDS [FIRST]]     default: 50 seeds from one taken from the clock
 set -euo pipefail
 cd "$(dirname "$0")/.."
 seeds=${1:-50} first=${2:-$(date +%s)}
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -26,21 +26,20 @@
   fi
 done
 
-# Tests that fail for a known fault stand in KNOWN-RED.txt, one a line, each with
-# its cause. They are run apart and printed; every other test must pass.
+# KNOWN-RED.txt lists the tests that fail for a known fault, one a line, with the cause.
+# They run separately and their results are printed; every other test must pass.
 known=$(grep -oE '^Test[A-Za-z0-9_]+' KNOWN-RED.txt 2>/dev/null | paste -sd '|' || true)
 
 echo "== test with the race detector"
 go test -race -timeout 20m ${known:+-skip "^($known)\$"} ./...
 
-# What depends on time taken by large messages is measured without the detector, at the
-# full size; with it (above) at a tenth of it.
+# Tests that depend on the time that large messages take run here without the race detector,
+# at full size; above, with the detector, they run at a tenth of that size.
 echo "== large messages without the race detector"
 go test -count=1 -run 'Large|RepeatedDeployment' ./internal/app/control
 
-# What comes from outside is decoded from whatever bytes it has. A few seconds each
-# find what is easily found; an input that fails is kept under testdata/fuzz and is a
-# test from then on.
+# Decoders of external input must accept arbitrary bytes without a fault. A few seconds each
+# find simple mistakes; a failing input is stored under testdata/fuzz and becomes a test.
 echo "== fuzz what is read from outside, 4 s each"
 for target in FuzzListEntry FuzzReport FuzzDocument FuzzCredential; do
   go test ./platform -run '^$' -fuzz "^$target\$" -fuzztime 4s -fuzzminimizetime 20x | grep -E '^(ok|FAIL|---)|elapsed: 4s'
